--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/EngineAdmission.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/EngineAdmission.java
@@ -17,34 +17,35 @@
 import java.util.Set;
 
 /**
- * Decides which attempts of one base model go on to the placement, when, and which are refused.
+ * Admission control for the attempts of one base model: decides which are passed to the placement,
+ * when, and which are refused.
  *
- * <p>Attempts wait here while every stream place is taken, so that one queue decides whose turn it
- * is. What the placement holds has had its turn and waits for a load only; that is bounded too.
+ * <p>Attempts wait here while all stream capacity is in use, so that one queue decides their order.
+ * Attempts in the placement are admitted and wait for a load only; their number is bounded too.
  * Guarded by the lock of its shard.
  */
 final class EngineAdmission {
 
-  /** Callers who name no service share one part among them. */
+  /** Service of all callers that name none; they share one portion of the queue. */
   private static final ServiceId UNNAMED = new ServiceId("unnamed");
 
   private final Optional<AdmissionSettings> ordinary;
   private final AdmissionQueue queue;
   private final Map<RequestId, AdmissionTicket> waiting = new HashMap<>();
-  private final Set<RequestId> placing = new HashSet<>();
-  private int maxPlacing;
+  private final Set<RequestId> inPlacement = new HashSet<>();
+  private int maxInPlacement;
 
   /**
-   * Makes an admission under the limits of ordinary days.
+   * Creates an admission control with the limits of ordinary operation.
    *
-   * @param ordinary the limits, or empty to let everything pass
+   * @param ordinary the limits, or empty to admit every attempt immediately
    * @param nowMs the time
    */
   EngineAdmission(Optional<AdmissionSettings> ordinary, long nowMs) {
     this.ordinary = ordinary;
     AdmissionSettings settings = ordinary.orElse(AdmissionSettings.DEFAULT);
     this.queue = new AdmissionQueue(settings, nowMs);
-    this.maxPlacing = settings.maxQueued();
+    this.maxInPlacement = settings.maxQueued();
   }
 
   /** Applies the limits of a preset. */
@@ -53,16 +54,16 @@
         settings -> {
           AdmissionSettings limits = settings.bounded(preset::queueBound);
           queue.apply(limits);
-          maxPlacing = limits.maxQueued();
+          maxInPlacement = limits.maxQueued();
         });
   }
 
-  /** Returns whether attempts wait here; if not, they go to the placement at once. */
-  boolean isOn() {
+  /** Returns whether attempts wait here; otherwise they are passed to the placement immediately. */
+  boolean isEnabled() {
     return ordinary.isPresent();
   }
 
-  /** Takes an attempt in; returns the one that is refused for it, if one is. */
+  /** Enqueues an attempt; returns the attempt that is refused for it, if any. */
   Optional<AdmissionQueue.Refusal> offer(Execution execution, long nowMs) {
     Completion work = execution.completion();
     AdmissionTicket ticket =
@@ -83,12 +84,12 @@
     return Math.max(1, work.maxTokens() - work.resumeFrom());
   }
 
-  /** Returns whether one that waits may go on to the placement. */
-  boolean hasTurn() {
-    return queue.size() > 0 && placing.size() < maxPlacing;
+  /** Returns whether a waiting attempt may be passed to the placement. */
+  boolean canAdmit() {
+    return queue.size() > 0 && inPlacement.size() < maxInPlacement;
   }
 
-  /** Takes out the attempt whose turn it is, and those that are too late by now. */
+  /** Dequeues the next attempt, and those that are too late. */
   AdmissionQueue.Turn next(long nowMs) {
     AdmissionQueue.Turn turn = queue.poll(nowMs);
     turn.refused().forEach(refusal -> waiting.remove(refusal.ticket().request()));
@@ -96,38 +97,38 @@
         .ifPresent(
             ticket -> {
               waiting.remove(ticket.request());
-              placing.add(ticket.request());
+              inPlacement.add(ticket.request());
             });
     return turn;
   }
 
-  /** Takes out those that cannot meet their deadline any more. */
+  /** Dequeues attempts that cannot meet their deadline. */
   List<AdmissionQueue.Refusal> expire(long nowMs) {
     List<AdmissionQueue.Refusal> refused = queue.expire(nowMs);
     refused.forEach(refusal -> waiting.remove(refusal.ticket().request()));
     return refused;
   }
 
-  /** Takes an attempt out; returns false if it did not wait here. */
+  /** Removes an attempt; returns false if it did not wait here. */
   boolean withdraw(RequestId id) {
-    placing.remove(id);
+    inPlacement.remove(id);
     AdmissionTicket ticket = waiting.remove(id);
     return ticket != null && queue.withdraw(ticket);
   }
 
-  /** Notes that the placement gave an attempt its place. */
+  /** Records that the placement assigned an attempt to an endpoint. */
   void placed(RequestId id) {
-    placing.remove(id);
+    inPlacement.remove(id);
   }
 
-  /** Notes that an attempt was served whole. */
-  void served(Execution execution, long nowMs) {
+  /** Records that an attempt received its complete answer. */
+  void completed(Execution execution, long nowMs) {
     if (execution.place() != null) {
       queue.finished(costOf(execution.completion()), execution.ranMs(nowMs));
     }
   }
 
-  /** Notes that an attempt was given up while it ran. */
+  /** Records that an attempt was abandoned while it ran. */
   void abandoned(Execution execution, long nowMs) {
     if (execution.place() != null) {
       queue.abandoned(costOf(execution.completion()), execution.ranMs(nowMs));
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/EngineRuns.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/EngineRuns.java
@@ -10,7 +10,7 @@
 import io.sequoiapass.daemon.request.Execution;
 
 /**
- * Writes the attempts of one shard to their engines, reads them on and cancels them.
+ * Sends the attempts of one shard to their engines, resumes their streams and cancels them.
  *
  * <p>Called under the lock of its shard.
  */
@@ -28,36 +28,39 @@
     this.observer = observer;
   }
 
-  /** The place stays taken until the engine says that the stream is gone: it may still serve. */
+  /**
+   * Cancels a run. Its stream capacity stays in use until the engine confirms that the stream has
+   * ended, since it may still be served.
+   */
   void cancel(Execution execution) {
     if (!execution.end()) {
       return;
     }
     execution.dropStream();
-    EngineWatch watch = shard.watch(execution.endpoint());
-    if (watch == null) {
-      shard.over(execution);
+    EngineMonitor monitor = shard.monitor(execution.endpoint());
+    if (monitor == null) {
+      shard.remove(execution);
       return;
     }
     engines
-        .cancel(watch.endpoint().address(), execution.id().request())
+        .cancel(monitor.endpoint().address(), execution.id().request())
         .whenComplete(
             (done, failure) ->
                 shard.locked(
                     () -> {
                       if (failure == null) {
-                        shard.finished(execution);
+                        shard.finish(execution);
                       } else {
-                        watch.lookNow();
-                        shard.over(execution);
+                        monitor.schedulePoll();
+                        shard.remove(execution);
                       }
                     }));
   }
 
   void write(Execution execution, PlacementAction.Start start) {
-    EngineWatch watch = shard.watch(start.endpoint());
-    if (watch == null) {
-      shard.finished(execution);
+    EngineMonitor monitor = shard.monitor(start.endpoint());
+    if (monitor == null) {
+      shard.finish(execution);
       execution.refuse(ErrorKind.DRAINING, false, 0);
       return;
     }
@@ -67,22 +70,24 @@
     observer.started(execution.id(), work.adapter(), start.endpoint(), execution.waitedMs());
     EngineRun run = execution.run(start.handle());
     EngineRelay relay =
-        new EngineRelay(execution, work.resumeFrom(), new RunEnd(shard, this, execution, watch, 0));
+        new EngineRelay(
+            execution, work.resumeFrom(), new RunEndListener(shard, this, execution, monitor, 0));
     execution.stream(
-        engines.complete(watch.endpoint().address(), run, execution.remainingMs(now), relay));
+        engines.complete(monitor.endpoint().address(), run, execution.remainingMs(now), relay));
   }
 
-  void attach(Execution execution, EngineWatch watch) {
+  void attach(Execution execution, EngineMonitor monitor) {
     execution.running(clock.millis());
-    resume(execution, watch, execution.completion().resumeFrom(), 0);
+    resume(execution, monitor, execution.completion().resumeFrom(), 0);
   }
 
-  void resume(Execution execution, EngineWatch watch, int from, int tries) {
+  void resume(Execution execution, EngineMonitor monitor, int from, int tries) {
     EngineRelay relay =
-        new EngineRelay(execution, from, new RunEnd(shard, this, execution, watch, tries));
+        new EngineRelay(
+            execution, from, new RunEndListener(shard, this, execution, monitor, tries));
     execution.stream(
         engines.resume(
-            watch.endpoint().address(),
+            monitor.endpoint().address(),
             execution.id().request(),
             from,
             execution.remainingMs(clock.millis()),
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/HeldRequests.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/HeldRequests.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /**
- * Keeps attempts that wait for their endpoint itself, not for a place on it, in order of arrival.
+ * Attempts that wait for the state of their endpoint, not for capacity on it, in order of arrival.
  *
  * <p>Guarded by the lock of its shard.
  */
@@ -23,7 +23,7 @@
     held.remove(execution);
   }
 
-  /** Takes out those that wait for an endpoint. */
+  /** Removes and returns the attempts for an endpoint. */
   List<Execution> takeAll(EndpointId endpoint) {
     List<Execution> taken =
         held.stream().filter(execution -> execution.forward().endpoint().equals(endpoint)).toList();
@@ -31,10 +31,10 @@
     return taken;
   }
 
-  /** Takes out those whose deadline has passed. */
-  List<Execution> takeLate(long nowMs) {
-    List<Execution> late = held.stream().filter(execution -> execution.isLate(nowMs)).toList();
-    late.forEach(held::remove);
-    return late;
+  /** Removes and returns the attempts whose deadline has passed. */
+  List<Execution> takeExpired(long nowMs) {
+    List<Execution> expired = held.stream().filter(execution -> execution.isLate(nowMs)).toList();
+    expired.forEach(held::remove);
+    return expired;
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/LoadOrders.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/LoadOrders.java
@@ -21,35 +21,38 @@
 import java.util.function.Consumer;
 
 /**
- * Gives engines the orders to unload and load, each only if the gate still permits it.
+ * Sends load and unload orders to engines, each only if the gate still permits it.
  *
  * <p>Safe for use by several threads.
  */
 final class LoadOrders {
 
-  /** Names a load that no engine ever made, so that the order to undo it changes nothing. */
+  /** Handle that no engine ever issues, so that the order to unload it changes nothing. */
   private static final String NEVER_LOADED = "never-loaded";
 
-  /** Long enough for a handover that came to nothing, short beside a request's deadline. */
+  /**
+   * Longest wait for the gate: long enough for a handover that is abandoned, short compared with a
+   * request's deadline.
+   */
   private static final long GATE_WAIT_MS = 2_000;
 
   private final MillisClock clock;
   private final EngineClient engines;
   private final OrderGate gate;
   private final OwnerObserver observer;
-  private final Set<EndpointId> raised = ConcurrentHashMap.newKeySet();
-  private final Queue<Shut> shut = new ConcurrentLinkedQueue<>();
+  private final Set<EndpointId> fenceRaised = ConcurrentHashMap.newKeySet();
+  private final Queue<PendingOrder> pending = new ConcurrentLinkedQueue<>();
 
-  /** Hears how a load ended, on any thread. */
-  interface Result {
+  /** Receives the result of a load, on any thread. */
+  interface ResultListener {
 
     /**
      * Called once for each load.
      *
      * @param handle the load's handle, or empty if nothing was loaded
-     * @param suspect whether the engine may hold something else than was believed
+     * @param uncertain whether the engine may hold something other than recorded
      */
-    void ended(Optional<LoadHandle> handle, boolean suspect);
+    void ended(Optional<LoadHandle> handle, boolean uncertain);
   }
 
   LoadOrders(MillisClock clock, EngineClient engines, OrderGate gate, OwnerObserver observer) {
@@ -60,16 +63,16 @@
   }
 
   /**
-   * Raises an endpoint's fence by an order that changes nothing. Until then the former owner's
-   * number is the highest that the engine has seen, and an order of its that is still on its way is
-   * obeyed after this daemon has read the engine's state.
+   * Raises an endpoint's fencing number by an order that changes nothing. Until then the former
+   * owner's number is the highest that the engine has received, and an order of that owner that is
+   * still in transit would be obeyed after this daemon has read the engine's state.
    *
    * @param endpoint the endpoint
-   * @return ends well once raised, or if this daemon may give no orders at all
+   * @return completes normally once the number is raised, or if this daemon may give no orders
    */
-  CompletableFuture<Void> raise(OwnedEndpoint endpoint) {
+  CompletableFuture<Void> raiseFence(OwnedEndpoint endpoint) {
     Optional<FencingNumber> fence = gate.permit(endpoint.id(), OrderKind.LOAD_INTO_FREE_SLOT);
-    if (raised.contains(endpoint.id()) || fence.isEmpty()) {
+    if (fenceRaised.contains(endpoint.id()) || fence.isEmpty()) {
       return CompletableFuture.completedFuture(null);
     }
     return engines
@@ -79,7 +82,7 @@
               if (failure != null && !isNoSuchHandle(failure)) {
                 throw new CompletionException(failure);
               }
-              raised.add(endpoint.id());
+              fenceRaised.add(endpoint.id());
               return null;
             });
   }
@@ -91,34 +94,38 @@
   }
 
   /**
-   * Notes that an endpoint is another's: its fence has to be raised again after the next change.
+   * Records that another daemon owns an endpoint: its fencing number has to be raised again after
+   * the next change of owner.
    */
-  void forget(EndpointId endpoint) {
-    raised.remove(endpoint);
+  void forgetFence(EndpointId endpoint) {
+    fenceRaised.remove(endpoint);
   }
 
-  void carry(OwnedEndpoint endpoint, PlacementAction.Load load, Result result) {
+  void execute(OwnedEndpoint endpoint, PlacementAction.Load load, ResultListener listener) {
     if (load.evict().isEmpty()) {
-      load(endpoint, load, result);
-    } else if (raised.contains(endpoint.id()) && !gate.mayOthersServe()) {
-      evict(endpoint, load, load.evict().get(), result);
+      load(endpoint, load, listener);
+    } else if (fenceRaised.contains(endpoint.id()) && !gate.mayOthersServe()) {
+      evict(endpoint, load, load.evict().get(), listener);
     } else {
-      look(endpoint, load, load.evict().get(), result);
+      evictIfIdle(endpoint, load, load.evict().get(), listener);
     }
   }
 
-  // A daemon that is cut off from this one may serve the endpoint as its deputy: its streams are
-  // known to nobody here. The engine knows them.
-  private void look(
-      OwnedEndpoint endpoint, PlacementAction.Load load, LoadHandle victim, Result result) {
-    raise(endpoint)
+  // A daemon that is cut off from this one may serve the endpoint as its backup owner. No daemon on
+  // this side has a record of its streams; the engine has.
+  private void evictIfIdle(
+      OwnedEndpoint endpoint,
+      PlacementAction.Load load,
+      LoadHandle victim,
+      ResultListener listener) {
+    raiseFence(endpoint)
         .thenCompose(done -> engines.state(endpoint.address()))
         .whenComplete(
             (state, failure) -> {
               if (failure == null && isIdle(state, victim)) {
-                evict(endpoint, load, victim, result);
+                evict(endpoint, load, victim, listener);
               } else {
-                result.ended(Optional.empty(), true);
+                listener.ended(Optional.empty(), true);
               }
             });
   }
@@ -130,8 +137,11 @@
   }
 
   private void evict(
-      OwnedEndpoint endpoint, PlacementAction.Load load, LoadHandle victim, Result result) {
-    permitted(
+      OwnedEndpoint endpoint,
+      PlacementAction.Load load,
+      LoadHandle victim,
+      ResultListener listener) {
+    whenPermitted(
         endpoint.id(),
         OrderKind.UNLOAD,
         fence ->
@@ -140,25 +150,28 @@
                 .whenComplete(
                     (done, failure) -> {
                       if (failure == null) {
-                        load(endpoint, load, result);
+                        load(endpoint, load, listener);
                       } else {
-                        result.ended(Optional.empty(), true);
+                        listener.ended(Optional.empty(), true);
                       }
                     }),
-        // The placement already counts the evicted adapter as gone; the engine still holds it.
-        () -> result.ended(Optional.empty(), true));
+        // The placement has already removed the evicted adapter; the engine still holds it.
+        () -> listener.ended(Optional.empty(), true));
   }
 
-  private void load(OwnedEndpoint endpoint, PlacementAction.Load load, Result result) {
-    permitted(
+  private void load(OwnedEndpoint endpoint, PlacementAction.Load load, ResultListener listener) {
+    whenPermitted(
         endpoint.id(),
         OrderKind.LOAD_INTO_FREE_SLOT,
-        fence -> loadNow(endpoint, load, fence, result),
-        () -> result.ended(Optional.empty(), load.evict().isPresent()));
+        fence -> sendLoad(endpoint, load, fence, listener),
+        () -> listener.ended(Optional.empty(), load.evict().isPresent()));
   }
 
-  private void loadNow(
-      OwnedEndpoint endpoint, PlacementAction.Load load, FencingNumber fence, Result result) {
+  private void sendLoad(
+      OwnedEndpoint endpoint,
+      PlacementAction.Load load,
+      FencingNumber fence,
+      ResultListener listener) {
     long sentAt = clock.millis();
     engines
         .load(endpoint.address(), fence, load.adapter())
@@ -166,46 +179,46 @@
             (handle, failure) -> {
               observer.loadEnded(
                   endpoint.id(), load.adapter(), clock.millis() - sentAt, failure == null);
-              result.ended(Optional.ofNullable(handle).map(LoadHandle::new), failure != null);
+              listener.ended(Optional.ofNullable(handle).map(LoadHandle::new), failure != null);
             });
   }
 
-  // The gate shuts for moments, as while a lease is renewed late or a handover is under way. Told
-  // as a failed load, that would make the placement shun the adapter, which did nothing wrong; so
-  // the order waits a little first.
-  private void permitted(
+  // The gate closes briefly, as while a lease is renewed late or a handover is in progress.
+  // Reporting that as a failed load would make the placement back off from an adapter without a
+  // fault, so the order waits first.
+  private void whenPermitted(
       EndpointId endpoint, OrderKind kind, Consumer<FencingNumber> order, Runnable refused) {
     Optional<FencingNumber> fence = gate.permit(endpoint, kind);
     if (fence.isPresent()) {
       order.accept(fence.get());
     } else {
-      shut.add(new Shut(endpoint, kind, order, refused, clock.millis() + GATE_WAIT_MS));
+      pending.add(new PendingOrder(endpoint, kind, order, refused, clock.millis() + GATE_WAIT_MS));
     }
   }
 
-  /** Asks the gate again for the orders that wait for it. */
-  void tick() {
-    for (int waiting = shut.size(); waiting > 0; waiting--) {
-      Shut order = shut.poll();
+  /** Retries the orders that wait for the gate. */
+  void retryPending() {
+    for (int remaining = pending.size(); remaining > 0; remaining--) {
+      PendingOrder order = pending.poll();
       if (order == null) {
         return;
       }
       Optional<FencingNumber> fence = gate.permit(order.endpoint(), order.kind());
       if (fence.isPresent()) {
         order.order().accept(fence.get());
-      } else if (clock.millis() >= order.until()) {
+      } else if (clock.millis() >= order.deadlineMs()) {
         order.refused().run();
       } else {
-        shut.add(order);
+        pending.add(order);
       }
     }
   }
 
-  /** An order that waits for the gate to open. */
-  private record Shut(
+  /** Order that waits for the gate to open. */
+  private record PendingOrder(
       EndpointId endpoint,
       OrderKind kind,
       Consumer<FencingNumber> order,
       Runnable refused,
-      long until) {}
+      long deadlineMs) {}
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/OwnedEndpoint.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/OwnedEndpoint.java
@@ -6,20 +6,20 @@
 import java.util.Objects;
 
 /**
- * Is what the owner has to know of an engine, from the configuration.
+ * Configuration of an engine that this daemon owns.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param id the endpoint
  * @param address where it listens
  * @param model the base model that it runs
- * @param slots adapters that it holds at once
- * @param maxStreams streams that it runs at once
+ * @param slots adapters that it can hold at the same time
+ * @param maxStreams streams that it can run at the same time
  */
 public record OwnedEndpoint(
     EndpointId id, InetSocketAddress address, ModelId model, int slots, int maxStreams) {
 
-  /** Checks the parts. */
+  /** Validates the components. */
   public OwnedEndpoint {
     Objects.requireNonNull(id, "id");
     Objects.requireNonNull(address, "address");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/Owner.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/Owner.java
@@ -21,8 +21,8 @@
 import java.util.function.Supplier;
 
 /**
- * Is this daemon as an owner: it takes attempts from entries and spreads them over one shard a base
- * model and the pool of plain services.
+ * Owner role of this daemon: takes attempts from entries and distributes them over one shard per
+ * base model and the pool of plain services.
  *
  * <p>Safe for use by several threads.
  */
@@ -34,9 +34,9 @@
   private final Map<EndpointId, EndpointRecord> owned = new HashMap<>();
 
   /**
-   * Makes an owner of nothing.
+   * Creates an owner without endpoints.
    *
-   * @param newShard makes the shard of a base model
+   * @param newShard creates the shard of a base model
    * @param services runs calls to plain services
    */
   public Owner(Supplier<OwnerShard> newShard, ServicePool services) {
@@ -45,9 +45,10 @@
   }
 
   /**
-   * Takes over what is new among the endpoints, and gives up what is no longer among them.
+   * Takes over endpoints that are new in the collection, and releases those that are missing from
+   * it.
    *
-   * @param endpoints all endpoints that this daemon owns now
+   * @param endpoints all endpoints that this daemon owns
    */
   public synchronized void owns(Collection<EndpointRecord> endpoints) {
     Map<EndpointId, EndpointRecord> wanted = new HashMap<>();
@@ -66,7 +67,7 @@
   }
 
   /**
-   * Starts nothing new on endpoints whose handover is under way.
+   * Starts nothing new on endpoints whose handover is in progress.
    *
    * @param handingOver the endpoints
    */
@@ -112,16 +113,16 @@
   }
 
   /**
-   * Changes what the placements weigh, after a change of the preset in force.
+   * Applies new weights to the placements, after a change of the preset in force.
    *
-   * @param weights what counts more
-   * @param prefetches whether adapters that nobody waits for may be loaded
+   * @param weights the new weights
+   * @param prefetches whether adapters that no request waits for may be loaded
    */
   public synchronized void weigh(PlacementWeights weights, boolean prefetches) {
     shards.values().forEach(shard -> shard.weigh(weights, prefetches));
   }
 
-  /** Lets time pass; to be called every 10 to 50 ms. */
+  /** Advances the time; to be called every 10 to 50 ms. */
   public void tick() {
     services.tick();
     shards.values().forEach(OwnerShard::tick);
@@ -137,19 +138,19 @@
     shards.values().forEach(shard -> shard.apply(preset));
   }
 
-  /** Returns the number of attempts that wait for their turn. */
+  /** Returns the number of attempts that wait for admission. */
   public int waiting() {
     return services.waiting() + shards.values().stream().mapToInt(OwnerShard::waiting).sum();
   }
 
-  /** Returns the number of attempts under way. */
+  /** Returns the number of attempts in progress. */
   public int size() {
     return services.size() + shards.values().stream().mapToInt(OwnerShard::size).sum();
   }
 
   @Override
   public void opened(PeerChannel channel) {
-    // An entry that has sent nothing needs nothing.
+    // Nothing to do before the entry sends an attempt.
   }
 
   @Override
@@ -157,8 +158,8 @@
     if (message instanceof PeerMessage.Forward forward) {
       submit(forward, channel);
     } else if (message instanceof PeerMessage.StartAnswer answer) {
-      services.startAnswered(answer);
-      shards.values().forEach(shard -> shard.startAnswered(answer));
+      services.startDecided(answer);
+      shards.values().forEach(shard -> shard.startDecided(answer));
     } else if (message instanceof PeerMessage.Cancel cancel) {
       services.cancel(cancel.id());
       shards.values().forEach(shard -> shard.cancel(cancel.id()));
@@ -173,7 +174,7 @@
       if (shard != null) {
         shard.submit(forward, channel);
       } else {
-        // The entry learned of a takeover before this daemon's round did.
+        // The entry received the update of a takeover before this daemon applied it.
         channel.send(new PeerMessage.Refused(forward.id(), ErrorKind.DRAINING, false, 0));
       }
     } else {
@@ -183,12 +184,12 @@
 
   @Override
   public void writabilityChanged(PeerChannel channel) {
-    shards.values().forEach(shard -> shard.flowOf(channel));
+    shards.values().forEach(shard -> shard.writabilityChanged(channel));
   }
 
   @Override
   public void closed(PeerChannel channel) {
-    services.entryLost(channel);
-    shards.values().forEach(shard -> shard.entryLost(channel));
+    services.entryDisconnected(channel);
+    shards.values().forEach(shard -> shard.entryDisconnected(channel));
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/OwnerObserver.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/OwnerObserver.java
@@ -5,24 +5,27 @@
 import io.sequoiapass.coordination.request.ErrorKind;
 import io.sequoiapass.daemon.connection.peer.PeerMessage.AttemptId;
 
-/** Hears what happens to owned endpoints; safe for use by several threads, must not block. */
+/**
+ * Receives events of owned endpoints. Implementations must be safe for use by several threads and
+ * must not block.
+ */
 public interface OwnerObserver {
 
   /**
-   * Called when an attempt is written to its endpoint.
+   * Called when an attempt is sent to its endpoint.
    *
    * @param id the attempt
-   * @param adapter what it runs on
+   * @param adapter the adapter version that it runs on
    * @param endpoint where it runs
    * @param waitedMs how long it waited at the owner, in milliseconds
    */
   void started(AttemptId id, AdapterVersion adapter, EndpointId endpoint, long waitedMs);
 
   /**
-   * Called when a load has been decided on.
+   * Called when the placement has decided on a load.
    *
-   * @param endpoint where
-   * @param adapter what is to be loaded
+   * @param endpoint the endpoint
+   * @param adapter the adapter version to load
    * @param evicts whether another adapter is unloaded first
    */
   void loadBegun(EndpointId endpoint, AdapterVersion adapter, boolean evicts);
@@ -30,33 +33,33 @@
   /**
    * Called when a load has ended.
    *
-   * @param endpoint where
-   * @param adapter what was loaded
+   * @param endpoint the endpoint
+   * @param adapter the adapter version of the load
    * @param tookMs how long it took, in milliseconds
-   * @param loaded whether it is loaded now
+   * @param loaded whether the load succeeded
    */
   void loadEnded(EndpointId endpoint, AdapterVersion adapter, long tookMs, boolean loaded);
 
   /**
-   * Called when an engine can be used.
+   * Called when an engine becomes usable.
    *
    * @param endpoint the endpoint
-   * @param restarted whether it had been used before and came back empty
+   * @param restarted whether it was usable before and has restarted empty
    */
   void endpointJoined(EndpointId endpoint, boolean restarted);
 
   /**
-   * Called when an engine does not answer any more.
+   * Called when an engine stops answering.
    *
    * @param endpoint the endpoint
    */
   void endpointUnreachable(EndpointId endpoint);
 
   /**
-   * Called when an attempt is refused because more work comes than can be done.
+   * Called when an attempt is refused because of overload.
    *
    * @param id the attempt
-   * @param kind what its caller is told
+   * @param kind the error that its caller receives
    * @param waitedMs how long it had waited, in milliseconds
    */
   void overloaded(AttemptId id, ErrorKind kind, long waitedMs);
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/OwnerShard.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/OwnerShard.java
@@ -35,9 +35,9 @@
  * Runs requests on the engines of one base model that this daemon owns.
  *
  * <p>One shard holds one placement and the attempts that it places; both change only under the
- * shard's lock. What is written to a connection under the lock is only queued there, so the lock is
- * never held for input or output. Answers of engines come on event loops and take the lock for
- * their end only.
+ * shard's lock. Messages written to a connection under the lock are only queued there, so the lock
+ * is never held for input or output. Answers of engines arrive on event loops, which take the lock
+ * only when an answer ends.
  */
 public final class OwnerShard {
 
@@ -47,21 +47,21 @@
   private final EngineClient engines;
   private final LoadOrders orders;
   private final OwnerObserver observer;
-  private final Map<EndpointId, EngineWatch> endpoints = new HashMap<>();
+  private final Map<EndpointId, EngineMonitor> endpoints = new HashMap<>();
   private final Map<RequestId, Execution> executions = new HashMap<>();
   private final HeldRequests held = new HeldRequests();
   private final EngineAdmission admission;
   private final EngineRuns runs;
 
   /**
-   * Makes a shard without endpoints.
+   * Creates a shard without endpoints.
    *
    * @param clock the clock of all times
    * @param placement decides what runs where
-   * @param engines carries calls to engines
-   * @param gate tells whether an order may still be given
-   * @param observer hears what is worth a log entry or a metric
-   * @param limits bounds what waits on ordinary days; empty to let everything pass
+   * @param engines sends calls to engines
+   * @param gate decides whether an order may still be given
+   * @param observer receives events for the log and the metrics
+   * @param limits bounds the queue in ordinary operation; empty to admit every attempt immediately
    */
   public OwnerShard(
       MillisClock clock,
@@ -91,65 +91,66 @@
   // Endpoints.
 
   /**
-   * Takes over an endpoint: it is used once its engine has told what it holds and runs.
+   * Takes over an endpoint. It is used once its engine has reported what it holds and runs.
    *
    * @param endpoint the endpoint
    */
   public void own(OwnedEndpoint endpoint) {
     locked(
         () -> {
-          EngineWatch watch = endpoints.get(endpoint.id());
-          if (watch != null && watch.endpoint().equals(endpoint)) {
+          EngineMonitor monitor = endpoints.get(endpoint.id());
+          if (monitor != null && monitor.endpoint().equals(endpoint)) {
             return;
           }
-          if (watch != null) {
+          if (monitor != null) {
             perform(placement.endpointLeft(clock.millis(), endpoint.id()));
           }
-          endpoints.put(endpoint.id(), new EngineWatch(endpoint));
+          endpoints.put(endpoint.id(), new EngineMonitor(endpoint));
         });
   }
 
   /**
-   * Stops using an endpoint; what runs on it goes on, what waits is given back to its entry.
+   * Stops using an endpoint; running attempts continue, queued ones are returned to their entry.
    *
    * @param endpoint the endpoint
    */
   public void disown(EndpointId endpoint) {
     locked(
         () -> {
-          orders.forget(endpoint);
+          orders.forgetFence(endpoint);
           if (endpoints.remove(endpoint) != null) {
-            giveBackQueued(endpoint);
+            refuseQueued(endpoint);
             perform(placement.endpointLeft(clock.millis(), endpoint));
           }
         });
   }
 
   /**
-   * Gives no new work to an endpoint that leaves, and uses it again when it is back; what runs on
-   * it goes on.
+   * Sends no new work to an endpoint that is leaving, and uses it again when it rejoins; running
+   * attempts continue.
    *
    * @param endpoint the endpoint
-   * @param leaving whether it leaves
+   * @param leaving whether it is leaving
    */
   public void drain(EndpointId endpoint, boolean leaving) {
     locked(
         () -> {
-          EngineWatch watch = endpoints.get(endpoint);
-          if (watch == null || !watch.leave(leaving)) {
+          EngineMonitor monitor = endpoints.get(endpoint);
+          if (monitor == null || !monitor.setLeaving(leaving)) {
             return;
           }
           if (leaving) {
             perform(placement.endpointDraining(clock.millis(), endpoint));
           } else {
-            watch.lookNow();
+            monitor.schedulePoll();
           }
         });
   }
 
   /**
-   * Starts nothing new on an endpoint while its handover is under way, and goes on with it if the
-   * handover came to nothing. Requests for it are held meanwhile: the write takes milliseconds.
+   * Starts nothing new on an endpoint while its handover is in progress, and resumes it if the
+   * handover is abandoned. Requests for it are held meanwhile, since the write of the ownership
+   * takes milliseconds.
    *
    * @param endpoint the endpoint
    * @param paused whether to pause
@@ -157,15 +158,15 @@
   public void pause(EndpointId endpoint, boolean paused) {
     locked(
         () -> {
-          EngineWatch watch = endpoints.get(endpoint);
-          if (watch == null || !watch.pause(paused)) {
+          EngineMonitor monitor = endpoints.get(endpoint);
+          if (monitor == null || !monitor.setPaused(paused)) {
             return;
           }
           if (paused) {
             queuedFor(endpoint).forEach(this::hold);
             perform(placement.endpointLeft(clock.millis(), endpoint));
           } else {
-            watch.lookNow();
+            monitor.schedulePoll();
           }
         });
   }
@@ -175,10 +176,10 @@
     held.add(execution);
   }
 
-  private void giveBackQueued(EndpointId endpoint) {
+  private void refuseQueued(EndpointId endpoint) {
     for (Execution execution : queuedFor(endpoint)) {
       withdraw(execution);
-      over(execution);
+      remove(execution);
       execution.refuse(ErrorKind.DRAINING, false, 0);
     }
   }
@@ -199,7 +200,7 @@
 
   private void refuseHeld(List<Execution> refused, ErrorKind kind) {
     for (Execution execution : refused) {
-      over(execution);
+      remove(execution);
       execution.refuse(kind, false, 0);
     }
   }
@@ -216,59 +217,64 @@
     locked(
         () -> {
           Execution execution = new Execution(forward, replies, clock.millis());
-          EngineWatch watch = endpoints.get(forward.endpoint());
-          if (watch == null) {
-            // The entry's table and this one differ, as they do for moments around each handover.
+          EngineMonitor monitor = endpoints.get(forward.endpoint());
+          if (monitor == null) {
+            // The ownership tables of the entry and this daemon differ briefly around each
+            // handover.
             execution.refuse(ErrorKind.DRAINING, false, 0);
             return;
           }
           if (executions.putIfAbsent(AttemptKeys.of(forward.id()), execution) != null) {
-            // The same frame twice; the first is under way and will answer.
+            // Duplicate frame; the first one's attempt is in progress and will answer.
             return;
           }
-          if (watch.holdsRequests()) {
+          if (monitor.holdsRequests()) {
             held.add(execution);
           } else {
-            begin(execution, watch);
+            begin(execution, monitor);
           }
         });
   }
 
-  /** What may only be read on must not be run, also after it was held. */
-  private void begin(Execution execution, EngineWatch watch) {
+  /**
+   * An attempt that may only attach to an existing run must not start one, also after it was held.
+   */
+  private void begin(Execution execution, EngineMonitor monitor) {
     if (execution.forward().mode() == Mode.RUN) {
       enqueue(execution);
     } else {
-      runs.attach(execution, watch);
+      runs.attach(execution, monitor);
     }
   }
 
   private void enqueue(Execution execution) {
-    if (admission.isOn()) {
+    if (admission.isEnabled()) {
       admission.offer(execution, clock.millis()).ifPresent(this::refuse);
     } else {
-      place(execution);
+      submitToPlacement(execution);
     }
   }
 
-  /** Gives the places that are free to those whose turn it is. */
-  private void release() {
-    while (admission.hasTurn() && placement.freePlaces() > 0) {
+  /** Passes waiting attempts to the placement while it has stream capacity. */
+  private void admitWaiting() {
+    while (admission.canAdmit() && placement.freeStreams() > 0) {
       AdmissionQueue.Turn turn = admission.next(clock.millis());
       turn.refused().forEach(this::refuse);
-      turn.next().map(ticket -> executions.get(ticket.request())).ifPresent(this::place);
+      turn.next()
+          .map(ticket -> executions.get(ticket.request()))
+          .ifPresent(this::submitToPlacement);
     }
   }
 
   private void refuse(AdmissionQueue.Refusal refusal) {
     Execution execution = executions.get(refusal.ticket().request());
-    over(execution);
+    remove(execution);
     Outcome.NotRun outcome = refusal.outcome();
     observer.overloaded(execution.id(), outcome.kind(), execution.agedMs(clock.millis()));
     execution.refuse(outcome.kind(), false, outcome.comeBackMillis().orElse(0));
   }
 
-  private void place(Execution execution) {
+  private void submitToPlacement(Execution execution) {
     Completion work = execution.completion();
     long now = clock.millis();
     perform(
@@ -285,11 +291,11 @@
   }
 
   /**
-   * Takes the entry's answer to a question for its grant.
+   * Handles the entry's answer to a request for a start grant.
    *
    * @param answer the answer
    */
-  public void startAnswered(PeerMessage.StartAnswer answer) {
+  public void startDecided(PeerMessage.StartAnswer answer) {
     locked(
         () -> {
           Execution execution = executions.get(AttemptKeys.of(answer.id()));
@@ -299,13 +305,13 @@
           if (answer.granted()) {
             runs.write(execution, execution.place());
           } else {
-            finished(execution);
+            finish(execution);
           }
         });
   }
 
   /**
-   * Drops an attempt that nobody waits for any more.
+   * Cancels an attempt whose caller has left.
    *
    * @param id the attempt
    */
@@ -314,18 +320,19 @@
   }
 
   /**
-   * Drops the attempts of an entry whose connection is gone: their callers are gone with it. Work
-   * that may run only once goes on if it was granted, since half of it is worse than all of it.
+   * Cancels the attempts of an entry whose connection has failed, since their callers have lost
+   * their connection with it. An attempt that may run only once continues if its start was granted,
+   * since a partial run is worse than a complete one.
    *
    * @param replies the connection
    */
-  public void entryLost(PeerChannel replies) {
+  public void entryDisconnected(PeerChannel replies) {
     locked(
         () -> {
           for (Execution execution : List.copyOf(executions.values())) {
-            boolean keeps =
+            boolean keepRunning =
                 execution.forward().atMostOnce() && execution.stage() == Execution.Stage.RUNNING;
-            if (execution.replies() == replies && !keeps) {
+            if (execution.replies() == replies && !keepRunning) {
               cancel(execution);
             }
           }
@@ -333,9 +340,9 @@
   }
 
   /**
-   * Stops or goes on reading the answer of an attempt.
+   * Pauses or resumes reading the answer of an attempt.
    *
-   * @param flow what the entry asks
+   * @param flow the entry's flow control message
    */
   public void flow(PeerMessage.Flow flow) {
     locked(
@@ -345,11 +352,11 @@
   }
 
   /**
-   * Stops or goes on reading the answers that go out over one connection.
+   * Pauses or resumes reading the answers that are sent over one connection, by its writability.
    *
    * @param replies the connection
    */
-  public void flowOf(PeerChannel replies) {
+  public void writabilityChanged(PeerChannel replies) {
     boolean paused = !replies.writable();
     locked(
         () ->
@@ -362,41 +369,41 @@
     switch (execution.stage()) {
       case QUEUED -> {
         withdraw(execution);
-        over(execution);
+        remove(execution);
       }
-      case ASKING -> finished(execution);
+      case ASKING -> finish(execution);
       case RUNNING -> {
         admission.abandoned(execution, clock.millis());
         runs.cancel(execution);
       }
       default -> {
-        // Over already.
+        // Already ended.
       }
     }
   }
 
   /**
-   * Changes what the placement weighs.
+   * Applies new weights to the placement.
    *
-   * @param weights what counts more
-   * @param prefetches whether adapters that nobody waits for may be loaded
+   * @param weights the new weights
+   * @param prefetches whether adapters that no request waits for may be loaded
    */
   void weigh(PlacementWeights weights, boolean prefetches) {
     locked(() -> placement.weigh(weights, prefetches));
   }
 
-  // What the placement decides.
+  // Placement decisions.
 
-  /** Lets time pass; to be called every 10 to 50 ms. */
+  /** Advances the time; to be called every 10 to 50 ms. */
   public void tick() {
     locked(
         () -> {
           long now = clock.millis();
-          orders.tick();
-          refuseHeld(held.takeLate(now), ErrorKind.DEADLINE_PASSED);
+          orders.retryPending();
+          refuseHeld(held.takeExpired(now), ErrorKind.DEADLINE_PASSED);
           admission.expire(now).forEach(this::refuse);
           perform(placement.tick(now));
-          endpoints.values().stream().filter(w -> w.due(now)).toList().forEach(this::look);
+          endpoints.values().stream().filter(m -> m.isPollDue(now)).toList().forEach(this::poll);
         });
   }
 
@@ -434,31 +441,31 @@
   private void refuse(PlacementAction.Refuse refuse) {
     Execution execution = executions.get(refuse.request());
     if (execution != null) {
-      over(execution);
-      execution.refuse(Refusals.kindOf(refuse.reason()), false, refuse.comeBackMs());
+      remove(execution);
+      execution.refuse(Refusals.kindOf(refuse.reason()), false, refuse.retryAfterMs());
     }
   }
 
   // Orders to engines.
 
   private void load(PlacementAction.Load load) {
-    EngineWatch watch = endpoints.get(load.endpoint());
-    if (watch == null) {
+    EngineMonitor monitor = endpoints.get(load.endpoint());
+    if (monitor == null) {
       loaded(load, Optional.empty());
       return;
     }
     observer.loadBegun(load.endpoint(), load.adapter(), load.evict().isPresent());
-    watch.orderBegun();
-    orders.carry(
-        watch.endpoint(),
+    monitor.orderStarted();
+    orders.execute(
+        monitor.endpoint(),
         load,
-        (handle, suspect) ->
+        (handle, uncertain) ->
             locked(
                 () -> {
-                  watch.orderEnded();
+                  monitor.orderEnded();
                   loaded(load, handle);
-                  if (suspect) {
-                    watch.lookNow();
+                  if (uncertain) {
+                    monitor.schedulePoll();
                   }
                 }));
   }
@@ -469,74 +476,75 @@
             clock.millis(), new LoadResult(load.endpoint(), load.adapter(), handle)));
   }
 
-  // What engines tell of themselves.
+  // Reports of engines.
 
-  private void look(EngineWatch watch) {
-    watch.asked();
+  private void poll(EngineMonitor monitor) {
+    monitor.pollStarted();
     orders
-        .raise(watch.endpoint())
-        .thenCompose(raised -> engines.state(watch.endpoint().address()))
-        .whenComplete((state, failure) -> locked(() -> told(watch, state, failure)));
+        .raiseFence(monitor.endpoint())
+        .thenCompose(raised -> engines.state(monitor.endpoint().address()))
+        .whenComplete((state, failure) -> locked(() -> stateReceived(monitor, state, failure)));
   }
 
-  private void told(EngineWatch watch, EngineState state, Throwable failure) {
-    if (endpoints.get(watch.endpoint().id()) != watch || watch.isPaused()) {
-      watch.answeredUnused();
+  private void stateReceived(EngineMonitor monitor, EngineState state, Throwable failure) {
+    if (endpoints.get(monitor.endpoint().id()) != monitor || monitor.isPaused()) {
+      monitor.discardPoll();
       return;
     }
     long now = clock.millis();
     if (failure != null) {
-      refuseHeld(held.takeAll(watch.endpoint().id()), ErrorKind.NO_ENDPOINT);
-      if (watch.unreachable(now)) {
-        observer.endpointUnreachable(watch.endpoint().id());
-        perform(placement.endpointLeft(now, watch.endpoint().id()));
+      refuseHeld(held.takeAll(monitor.endpoint().id()), ErrorKind.NO_ENDPOINT);
+      if (monitor.pollFailed(now)) {
+        observer.endpointUnreachable(monitor.endpoint().id());
+        perform(placement.endpointLeft(now, monitor.endpoint().id()));
       }
       return;
     }
-    EngineWatch.News news = watch.told(now, state);
-    switch (news) {
+    EngineMonitor.StateChange change = monitor.pollSucceeded(now, state);
+    switch (change) {
       case JOINED, RESTARTED -> {
-        observer.endpointJoined(watch.endpoint().id(), news == EngineWatch.News.RESTARTED);
-        perform(placement.endpointJoined(now, watch.status()));
-        if (watch.isLeaving()) {
-          // The placement takes an endpoint that joins for one that takes work.
-          perform(placement.endpointDraining(now, watch.endpoint().id()));
+        observer.endpointJoined(
+            monitor.endpoint().id(), change == EngineMonitor.StateChange.RESTARTED);
+        perform(placement.endpointJoined(now, monitor.status()));
+        if (monitor.isLeaving()) {
+          // The placement treats an endpoint that joins as one that accepts work.
+          perform(placement.endpointDraining(now, monitor.endpoint().id()));
         }
-        held.takeAll(watch.endpoint().id()).forEach(waited -> begin(waited, watch));
+        held.takeAll(monitor.endpoint().id()).forEach(execution -> begin(execution, monitor));
       }
       case SAME -> {
-        watch
-            .foreignGone(state, executions.keySet())
-            .forEach(gone -> perform(placement.requestFinished(now, gone)));
-        if (watch.isSettled()) {
-          perform(placement.endpointSeen(now, watch.status()));
+        monitor
+            .removeEndedForeignRuns(state, executions.keySet())
+            .forEach(ended -> perform(placement.requestFinished(now, ended)));
+        if (monitor.noOrdersDuringPoll()) {
+          perform(placement.endpointReported(now, monitor.status()));
         }
       }
-      default -> throw new AssertionError(news);
+      default -> throw new AssertionError(change);
     }
   }
 
-  // Ends.
+  // Ends of attempts.
 
-  /** Returns what is known of an endpoint, or null if it is not owned. */
-  EngineWatch watch(EndpointId endpoint) {
+  /** Returns the monitor of an endpoint, or null if the endpoint is not owned. */
+  EngineMonitor monitor(EndpointId endpoint) {
     return endpoints.get(endpoint);
   }
 
-  /** Ends an attempt whose whole answer was handed on. */
-  void whole(Execution execution, AdapterVersion ranOn, int tokens) {
-    admission.served(execution, clock.millis());
-    finished(execution);
+  /** Ends an attempt whose complete answer was relayed. */
+  void complete(Execution execution, AdapterVersion ranOn, int tokens) {
+    admission.completed(execution, clock.millis());
+    finish(execution);
     execution.whole(ranOn, tokens, placement.loads());
   }
 
-  /** Ends an attempt whose place on an endpoint is free again. */
-  void finished(Execution execution) {
-    over(execution);
+  /** Ends an attempt whose stream capacity is free. */
+  void finish(Execution execution) {
+    remove(execution);
     perform(placement.requestFinished(clock.millis(), AttemptKeys.of(execution.id())));
   }
 
-  void over(Execution execution) {
+  void remove(Execution execution) {
     execution.end();
     held.remove(execution);
     admission.withdraw(AttemptKeys.of(execution.id()));
@@ -548,14 +556,14 @@
     try {
       action.run();
       if (lock.getHoldCount() == 1) {
-        release();
+        admitWaiting();
       }
     } finally {
       lock.unlock();
     }
   }
 
-  /** Returns the number of attempts that wait for their turn. */
+  /** Returns the number of attempts that wait for admission. */
   public int waiting() {
     lock.lock();
     try {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/RunEnd.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/RunEndListener.java
@@ -7,32 +7,35 @@
 import io.sequoiapass.daemon.request.Execution;
 
 /**
- * Hears how a run on an engine ended, and tells the shard that it belongs to.
+ * Receives the end of a run on an engine and updates the shard that the run belongs to.
  *
  * <p>Called on event loops; takes the shard's lock.
  */
-final class RunEnd implements EngineRelay.End {
+final class RunEndListener implements EngineRelay.End {
 
-  /** Two tries: the second catches a connection that was cut just when the first one opened. */
+  /**
+   * Two attempts: the second covers a connection that is cut just when the first one has opened.
+   */
   private static final int MAX_RESUMES = 2;
 
   private final OwnerShard shard;
   private final EngineRuns runs;
   private final Execution execution;
-  private final EngineWatch watch;
+  private final EngineMonitor monitor;
   private final int resumes;
 
-  RunEnd(OwnerShard shard, EngineRuns runs, Execution execution, EngineWatch watch, int resumes) {
+  RunEndListener(
+      OwnerShard shard, EngineRuns runs, Execution execution, EngineMonitor monitor, int resumes) {
     this.shard = shard;
     this.runs = runs;
     this.execution = execution;
-    this.watch = watch;
+    this.monitor = monitor;
     this.resumes = resumes;
   }
 
   @Override
   public void whole(AdapterVersion ranOn, int tokens) {
-    shard.locked(() -> shard.whole(execution, ranOn, tokens));
+    shard.locked(() -> shard.complete(execution, ranOn, tokens));
   }
 
   @Override
@@ -42,14 +45,14 @@
           if (execution.stage() != Execution.Stage.RUNNING) {
             return;
           }
-          shard.finished(execution);
+          shard.finish(execution);
           if (refusal == EngineRefusal.NO_SUCH_STREAM) {
             execution.lost();
           } else {
             execution.refuse(Refusals.kindOf(refusal), true, 0);
           }
           if (refusal == EngineRefusal.NOT_LOADED) {
-            watch.lookNow();
+            monitor.schedulePoll();
           }
         });
   }
@@ -62,14 +65,14 @@
             return;
           }
           if (!mayHaveReached) {
-            watch.lookNow();
-            shard.finished(execution);
+            monitor.schedulePoll();
+            shard.finish(execution);
             execution.refuse(ErrorKind.ENDPOINT_LOST_BEFORE_START, false, 0);
           } else if (resumable && resumes < MAX_RESUMES) {
-            runs.resume(execution, watch, next, resumes + 1);
+            runs.resume(execution, monitor, next, resumes + 1);
           } else {
-            watch.lookNow();
-            shard.finished(execution);
+            monitor.schedulePoll();
+            shard.finish(execution);
             execution.lost();
           }
         });
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/ServiceEndpoint.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/ServiceEndpoint.java
@@ -16,14 +16,14 @@
 import java.util.Optional;
 
 /**
- * Holds the calls that wait for one endpoint of a plain service, and how many it runs.
+ * Queue and concurrency limit of one endpoint of a plain service.
  *
  * <p>Guarded by the lock of its pool.
  */
 final class ServiceEndpoint {
 
-  private static final double ONE_CALL = 1;
-  private static final String ONE_FLOW = "";
+  private static final double CALL_COST = 1;
+  private static final String SINGLE_FLOW = "";
 
   private final ServiceId service;
   private final ConcurrencyLimit limit;
@@ -47,7 +47,7 @@
     this.queue = new AdmissionQueue(ordinary, nowMs);
   }
 
-  /** Takes what the configuration says of it now. */
+  /** Applies a change of the configuration. */
   void configure(InetSocketAddress newAddress, int maxCalls) {
     address = newAddress;
     limit.bound(maxCalls);
@@ -57,9 +57,9 @@
     queue.apply(ordinary.bounded(preset::queueBound));
   }
 
-  /** Notes whether it leaves, and so begins nothing new. */
-  void leave(boolean leaves) {
-    leaving = leaves;
+  /** Sets whether the endpoint is leaving; nothing new starts on it then. */
+  void setLeaving(boolean leave) {
+    leaving = leave;
   }
 
   boolean isLeaving() {
@@ -70,32 +70,32 @@
     return address;
   }
 
-  boolean hasPlace() {
+  boolean hasCapacity() {
     return running < limit.calls();
   }
 
-  /** Takes an attempt in; returns the one that is refused for it, if one is. */
+  /** Enqueues an attempt; returns the attempt that is refused for it, if any. */
   Optional<AdmissionQueue.Refusal> offer(Execution execution, long nowMs) {
     AdmissionTicket ticket =
         new AdmissionTicket(
             AttemptKeys.of(execution.id()),
             service,
-            ONE_FLOW,
+            SINGLE_FLOW,
             execution.forward().work().priority(),
             nowMs + execution.remainingMs(nowMs),
-            ONE_CALL);
+            CALL_COST);
     waiting.put(ticket.request(), ticket);
     Optional<AdmissionQueue.Refusal> refused = queue.offer(ticket, nowMs);
     refused.ifPresent(refusal -> waiting.remove(refusal.ticket().request()));
     return refused;
   }
 
-  /** Returns whether one that waits may be begun. */
-  boolean hasTurn() {
-    return queue.size() > 0 && hasPlace() && !leaving;
+  /** Returns whether a waiting attempt may start. */
+  boolean canStart() {
+    return queue.size() > 0 && hasCapacity() && !leaving;
   }
 
-  /** Takes out the attempt whose turn it is, and those that are too late by now. */
+  /** Dequeues the next attempt, and those that are too late. */
   AdmissionQueue.Turn next(long nowMs) {
     AdmissionQueue.Turn turn = queue.poll(nowMs);
     turn.refused().forEach(refusal -> waiting.remove(refusal.ticket().request()));
@@ -103,37 +103,37 @@
     return turn;
   }
 
-  /** Takes out those that cannot meet their deadline any more. */
+  /** Dequeues attempts that cannot meet their deadline. */
   List<AdmissionQueue.Refusal> expire(long nowMs) {
     List<AdmissionQueue.Refusal> refused = queue.expire(nowMs);
     refused.forEach(refusal -> waiting.remove(refusal.ticket().request()));
     return refused;
   }
 
-  /** Takes an attempt out; returns false if it did not wait here. */
+  /** Removes an attempt; returns false if it did not wait here. */
   boolean withdraw(RequestId id) {
     AdmissionTicket ticket = waiting.remove(id);
     return ticket != null && queue.withdraw(ticket);
   }
 
-  /** Notes that a place is taken. */
-  void begun() {
+  /** Records the start of a call. */
+  void callStarted() {
     running++;
   }
 
-  /** Notes that a place is free again. */
-  void ended() {
+  /** Records the end of a call; its capacity is free. */
+  void callEnded() {
     running = Math.max(0, running - 1);
   }
 
-  /** Notes that the endpoint answered a call, whose place is still taken. */
-  void answered(long tookMs) {
-    queue.finished(ONE_CALL, tookMs);
+  /** Records that the endpoint answered a call, whose capacity is still in use. */
+  void callAnswered(long tookMs) {
+    queue.finished(CALL_COST, tookMs);
     limit.answered(running);
   }
 
-  /** Notes that the endpoint refused a call for lack of room. */
-  void refused(long nowMs) {
+  /** Records that the endpoint refused a call for lack of capacity. */
+  void callRefused(long nowMs) {
     limit.refused(nowMs);
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/ServicePool.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/ServicePool.java
@@ -28,9 +28,10 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Runs calls to the plain services that this daemon owns, each endpoint up to its bound.
+ * Runs calls to the plain services that this daemon owns, within the concurrency limit of each
+ * endpoint.
  *
- * <p>Safe for use by several threads: one lock guards the counts and the calls under way.
+ * <p>Safe for use by several threads: one lock guards the counts and the calls in progress.
  */
 public final class ServicePool {
 
@@ -45,12 +46,13 @@
   private final Map<RequestId, Execution> executions = new HashMap<>();
 
   /**
-   * Makes a pool without endpoints.
+   * Creates a pool without endpoints.
    *
    * @param clock the clock of deadlines
-   * @param http what carries the calls
-   * @param observer hears of refusals
-   * @param limits bounds what waits on ordinary days; empty to refuse what finds no place
+   * @param http sends the calls
+   * @param observer receives refusals
+   * @param limits bounds the queues in ordinary operation; empty to refuse calls for which there is
+   *     no capacity
    */
   public ServicePool(
       MillisClock clock,
@@ -69,7 +71,7 @@
    * @param endpoint the endpoint
    * @param service the service that it runs
    * @param address where it listens
-   * @param maxCalls calls that it runs at once
+   * @param maxCalls calls that it can run at the same time
    */
   public void own(EndpointId endpoint, ServiceId service, InetSocketAddress address, int maxCalls) {
     locked(
@@ -88,25 +90,26 @@
   }
 
   /**
-   * Starts nothing new on an endpoint that leaves; calls under way go on, what waits is given back.
+   * Starts nothing new on an endpoint that is leaving; calls in progress continue, queued ones are
+   * returned to their entry.
    *
    * @param endpoint the endpoint
-   * @param leaving whether it leaves
+   * @param leaving whether it is leaving
    */
   public void drain(EndpointId endpoint, boolean leaving) {
     locked(
         () -> {
           ServiceEndpoint known = endpoints.get(endpoint);
           if (known != null) {
-            known.leave(leaving);
+            known.setLeaving(leaving);
           }
           if (leaving) {
-            giveBackQueued(endpoint);
+            refuseQueued(endpoint);
           }
         });
   }
 
-  private void giveBackQueued(EndpointId endpoint) {
+  private void refuseQueued(EndpointId endpoint) {
     executions.values().stream()
         .filter(execution -> execution.stage() == Execution.Stage.QUEUED)
         .filter(execution -> execution.forward().endpoint().equals(endpoint))
@@ -115,7 +118,7 @@
   }
 
   /**
-   * Stops using an endpoint; calls under way go on, what waits is given back to its entry.
+   * Stops using an endpoint; calls in progress continue, queued ones are returned to their entry.
    *
    * @param endpoint the endpoint
    */
@@ -123,7 +126,7 @@
     locked(
         () -> {
           if (endpoints.remove(endpoint) != null) {
-            giveBackQueued(endpoint);
+            refuseQueued(endpoint);
           }
         });
   }
@@ -137,13 +140,13 @@
     locked(() -> endpoints.values().forEach(endpoint -> endpoint.apply(preset)));
   }
 
-  /** Lets time pass; to be called every 10 to 50 ms. */
+  /** Advances the time; to be called every 10 to 50 ms. */
   public void tick() {
     locked(
         () -> {
           for (ServiceEndpoint endpoint : endpoints.values()) {
             endpoint.expire(clock.millis()).forEach(this::refuse);
-            release(endpoint);
+            startWaiting(endpoint);
           }
         });
   }
@@ -160,28 +163,29 @@
           Execution execution = new Execution(forward, replies, clock.millis());
           ServiceEndpoint endpoint = endpoints.get(forward.endpoint());
           if (endpoint == null || endpoint.isLeaving()) {
-            // The entry's table and this one differ, as they do for moments around each handover.
+            // The ownership tables of the entry and this daemon differ briefly around each
+            // handover.
             execution.refuse(ErrorKind.DRAINING, false, 0);
           } else if (executions.putIfAbsent(AttemptKeys.of(forward.id()), execution) == null) {
-            take(execution, endpoint);
+            startOrEnqueue(execution, endpoint);
           }
         });
   }
 
-  private void take(Execution execution, ServiceEndpoint endpoint) {
+  private void startOrEnqueue(Execution execution, ServiceEndpoint endpoint) {
     if (limits.isPresent()) {
       endpoint.offer(execution, clock.millis()).ifPresent(this::refuse);
-      release(endpoint);
-    } else if (endpoint.hasPlace()) {
+      startWaiting(endpoint);
+    } else if (endpoint.hasCapacity()) {
       begin(execution, endpoint);
     } else {
       refuse(execution, ErrorKind.QUEUE_FULL, 0);
     }
   }
 
-  /** Gives the places that are free to those whose turn it is. */
-  private void release(ServiceEndpoint endpoint) {
-    while (endpoint.hasTurn()) {
+  /** Starts waiting attempts while the endpoint has capacity. */
+  private void startWaiting(ServiceEndpoint endpoint) {
+    while (endpoint.canStart()) {
       AdmissionQueue.Turn turn = endpoint.next(clock.millis());
       turn.refused().forEach(this::refuse);
       turn.next()
@@ -197,13 +201,13 @@
     refuse(execution, outcome.kind(), outcome.comeBackMillis().orElse(0));
   }
 
-  private void refuse(Execution execution, ErrorKind kind, long comeBackMs) {
-    over(execution);
-    execution.refuse(kind, false, comeBackMs);
+  private void refuse(Execution execution, ErrorKind kind, long retryAfterMs) {
+    remove(execution);
+    execution.refuse(kind, false, retryAfterMs);
   }
 
   private void begin(Execution execution, ServiceEndpoint endpoint) {
-    endpoint.begun();
+    endpoint.callStarted();
     if (execution.forward().atMostOnce()) {
       execution.asking();
       execution.replies().send(new PeerMessage.MayStart(execution.id()));
@@ -213,11 +217,11 @@
   }
 
   /**
-   * Takes the entry's answer to a question for its grant.
+   * Handles the entry's answer to a request for a start grant.
    *
    * @param answer the answer
    */
-  public void startAnswered(PeerMessage.StartAnswer answer) {
+  public void startDecided(PeerMessage.StartAnswer answer) {
     locked(
         () -> {
           Execution execution = executions.get(AttemptKeys.of(answer.id()));
@@ -226,7 +230,7 @@
           }
           ServiceEndpoint endpoint = endpoints.get(execution.forward().endpoint());
           if (!answer.granted()) {
-            over(execution);
+            remove(execution);
           } else if (endpoint == null || endpoint.isLeaving()) {
             refuse(execution, ErrorKind.DRAINING, 0);
           } else {
@@ -236,8 +240,8 @@
   }
 
   /**
-   * Drops an attempt that nobody waits for any more, unless it is being written or runs: a plain
-   * service cannot be stopped.
+   * Drops an attempt whose caller has left, unless it is being sent or runs, since a call to a
+   * plain service cannot be cancelled.
    *
    * @param id the attempt
    */
@@ -246,21 +250,22 @@
         () ->
             Optional.ofNullable(executions.get(AttemptKeys.of(id)))
                 .filter(ServicePool::isUnwritten)
-                .ifPresent(this::over));
+                .ifPresent(this::remove));
   }
 
   /**
-   * Drops what waits for an entry whose connection is gone.
+   * Drops the attempts of an entry whose connection has failed, except those already sent to their
+   * endpoint.
    *
    * @param replies the connection
    */
-  public void entryLost(PeerChannel replies) {
+  public void entryDisconnected(PeerChannel replies) {
     locked(
         () ->
             List.copyOf(executions.values()).stream()
                 .filter(execution -> execution.replies() == replies)
                 .filter(ServicePool::isUnwritten)
-                .forEach(this::over));
+                .forEach(this::remove));
   }
 
   private static boolean isUnwritten(Execution execution) {
@@ -281,13 +286,13 @@
       call = call.header("Idempotency-Key", work.idempotencyKey());
     }
     http.send(call, execution.remainingMs(now))
-        .whenComplete((answer, failure) -> locked(() -> ended(execution, answer, failure)));
+        .whenComplete((answer, failure) -> locked(() -> callEnded(execution, answer, failure)));
   }
 
-  private void ended(Execution execution, HttpAnswer answer, Throwable failure) {
+  private void callEnded(Execution execution, HttpAnswer answer, Throwable failure) {
     boolean refused = failure == null && answer.status() == SERVICE_UNAVAILABLE;
-    learn(execution, refused, failure);
-    over(execution);
+    updateLimit(execution, refused, failure);
+    remove(execution);
     if (refused) {
       execution.refuse(ErrorKind.OVERLOADED, true, 0);
     } else if (failure == null) {
@@ -297,28 +302,28 @@
           .send(
               new PeerMessage.ServiceAnswer(
                   execution.id(), answer.status(), contentType, answer.body()));
-    } else if (neverReached(failure)) {
+    } else if (wasNotSent(failure)) {
       execution.refuse(ErrorKind.ENDPOINT_LOST_BEFORE_START, false, 0);
     } else {
       execution.lost();
     }
   }
 
-  private void learn(Execution execution, boolean refused, Throwable failure) {
+  private void updateLimit(Execution execution, boolean refused, Throwable failure) {
     ServiceEndpoint endpoint = endpoints.get(execution.forward().endpoint());
     if (endpoint != null && refused) {
-      endpoint.refused(clock.millis());
+      endpoint.callRefused(clock.millis());
     } else if (endpoint != null && failure == null) {
-      endpoint.answered(execution.ranMs(clock.millis()));
+      endpoint.callAnswered(execution.ranMs(clock.millis()));
     }
   }
 
-  private static boolean neverReached(Throwable failure) {
+  private static boolean wasNotSent(Throwable failure) {
     return failure instanceof HttpFailure http && !http.mayHaveReached();
   }
 
-  private void over(Execution execution) {
-    boolean hadPlace = execution.stage() != Execution.Stage.QUEUED;
+  private void remove(Execution execution) {
+    boolean heldCapacity = execution.stage() != Execution.Stage.QUEUED;
     if (!execution.end()) {
       return;
     }
@@ -329,13 +334,13 @@
       return;
     }
     endpoint.withdraw(id);
-    if (hadPlace) {
-      endpoint.ended();
-      release(endpoint);
+    if (heldCapacity) {
+      endpoint.callEnded();
+      startWaiting(endpoint);
     }
   }
 
-  /** Returns the number of calls that wait for their turn. */
+  /** Returns the number of calls that wait for admission. */
   public int waiting() {
     lock.lock();
     try {
@@ -345,7 +350,7 @@
     }
   }
 
-  /** Returns the number of calls under way. */
+  /** Returns the number of calls in progress. */
   public int size() {
     lock.lock();
     try {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/package-info.java
@@ -1,2 +1,2 @@
-/** The owner's side: orders and requests to the endpoints that this daemon owns. */
+/** Owner side: sends orders and requests to the endpoints that this daemon owns. */
 package io.sequoiapass.daemon.process.owner;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/AdaptivePlacement.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/AdaptivePlacement.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 
 /**
- * Places requests so that few wait for a load and batches hold few adapters.
+ * Placement that keeps load stalls few and the number of distinct adapters per batch low.
  *
  * <pre>{@code
  * Placement placement =
@@ -25,30 +25,37 @@
  */
 public final class AdaptivePlacement implements Placement {
 
-  /** A request's weight in the order of loads doubles after waiting this long. */
+  /** Waiting time after which a request's weight in the load order has doubled. */
   private static final long AGING_MS = 1_000;
 
-  /** How often forgotten adapters leave the demand table. */
+  /** Interval at which adapters without demand are removed from the demand table. */
   private static final long PRUNE_MS = 60_000;
 
-  /** Loads that a request waits for while the store looks busy, at most; half for a deadline. */
-  private static final int PATIENCE_LOADS = 1;
+  /**
+   * Longest delay of a load for each load that other owners have in progress, in uncontended load
+   * times; half of it for {@link Urgency#DEADLINE}.
+   */
+  private static final int MAX_DELAY_LOADS = 1;
 
-  /** Requests within a half-life that a full batch on the endpoint makes up for. */
-  private static final double PACKING = 1;
+  /**
+   * Demand that a full batch on the endpoint offsets in the cost of an eviction, in requests per
+   * half-life.
+   */
+  private static final double FULL_BATCH_DISCOUNT = 1;
 
-  /** Cost of a free slot: below any eviction. */
-  private static final double FREE = -1_000;
+  /** Cost of a free slot: below that of any eviction. */
+  private static final double FREE_SLOT_COST = -1_000;
 
   /**
-   * An adapter goes to the endpoint that the router chose if what it evicts there has less than
-   * this share of its own demand; one that is seldom asked for goes wherever the least is lost.
+   * An adapter is loaded on the endpoint that the router chose if the adapter evicted there has
+   * less than this share of its demand. An adapter in low demand is loaded where the eviction costs
+   * least.
    */
-  private static final double DESERVES = 0.5;
+  private static final double MAX_VICTIM_DEMAND_RATIO = 0.5;
 
-  private static final int HUNDREDTHS = 100;
+  private static final int HUNDREDTHS_PER_REQUEST = 100;
 
-  private static final long NO_ENDPOINT_COME_BACK_MS = 1_000;
+  private static final long NO_ENDPOINT_RETRY_AFTER_MS = 1_000;
 
   private record Running(EndpointState.Slot slot) {}
 
@@ -59,7 +66,7 @@
 
   private final PlacementSettings settings;
   private PlacementWeights weights;
-  private boolean prefetches = true;
+  private boolean prefetchEnabled = true;
   private final Map<EndpointId, EndpointState> endpoints = new TreeMap<>();
   private final Map<AdapterVersion, WaitingGroup> waiting = new TreeMap<>();
   private final Map<RequestId, AdapterVersion> queued = new HashMap<>();
@@ -67,9 +74,9 @@
   private final Map<AdapterVersion, Failures> failures = new HashMap<>();
   private final Map<AdapterVersion, ModelId> models = new HashMap<>();
   private final DemandTable demand;
-  private final LoadTurns turns;
+  private final LoadLimiter limiter;
   private long pruneAtMs;
-  private long lastMs;
+  private long lastEventMs;
 
   /**
    * Creates a placement with no endpoint.
@@ -81,12 +88,12 @@
     this.settings = settings;
     this.weights = weights;
     this.demand = new DemandTable(settings.demandHalfLifeMs());
-    this.turns = new LoadTurns(settings.loadAloneMs());
+    this.limiter = new LoadLimiter(settings.loadAloneMs());
   }
 
   @Override
   public List<PlacementAction> endpointJoined(long nowMs, EndpointStatus status) {
-    forget(status.endpoint());
+    removeEndpoint(status.endpoint());
     EndpointState endpoint = new EndpointState(status);
     endpoints.put(endpoint.id, endpoint);
     for (Resident resident : status.residents()) {
@@ -96,19 +103,19 @@
         occupy(request, slot);
       }
     }
-    status.loading().forEach(adapter -> endpoint.addForeign(nowMs, adapter));
+    status.loading().forEach(adapter -> endpoint.addForeignLoad(nowMs, adapter));
     return decide(nowMs);
   }
 
   @Override
-  public List<PlacementAction> endpointSeen(long nowMs, EndpointStatus status) {
+  public List<PlacementAction> endpointReported(long nowMs, EndpointStatus status) {
     EndpointState endpoint = endpoints.get(status.endpoint());
     return endpoint != null && endpoint.reconcile(nowMs, status) ? decide(nowMs) : List.of();
   }
 
   @Override
   public List<PlacementAction> endpointLeft(long nowMs, EndpointId endpoint) {
-    forget(endpoint);
+    removeEndpoint(endpoint);
     return decide(nowMs);
   }
 
@@ -124,10 +131,10 @@
   @Override
   public List<PlacementAction> requestArrived(long nowMs, PlacementRequest request) {
     if (queued.containsKey(request.id()) || running.containsKey(request.id())) {
-      throw new IllegalArgumentException("request is here already: " + request.id());
+      throw new IllegalArgumentException("request is already queued or running: " + request.id());
     }
     if (active(request.model()).isEmpty()) {
-      return refuse(request.id(), RefusalReason.NO_ENDPOINT, NO_ENDPOINT_COME_BACK_MS);
+      return refuse(request.id(), RefusalReason.NO_ENDPOINT, NO_ENDPOINT_RETRY_AFTER_MS);
     }
     if (queued.size() >= settings.maxQueued()) {
       return refuse(request.id(), RefusalReason.OVERLOADED, settings.hungAfterMs());
@@ -168,11 +175,11 @@
     }
     EndpointState.Slot slot = loading.get();
     if (!slot.hung) {
-      turns.end();
+      limiter.release();
     }
     if (result.handle().isPresent()) {
       slot.handle = result.handle().get();
-      turns.took(nowMs - slot.loadedAtMs);
+      limiter.recordDuration(nowMs - slot.loadedAtMs);
       failures.remove(result.adapter());
       return decide(nowMs);
     }
@@ -185,8 +192,8 @@
   @Override
   public List<PlacementAction> tick(long nowMs) {
     List<PlacementAction> actions = new ArrayList<>();
-    refuseLate(nowMs, actions);
-    giveUpHung(nowMs);
+    refuseExpired(nowMs, actions);
+    timeOutHungLoads(nowMs);
     if (nowMs >= pruneAtMs) {
       demand.prune(nowMs);
       models.keySet().removeIf(adapter -> demand.of(nowMs, adapter) == 0);
@@ -196,29 +203,32 @@
     return actions;
   }
 
-  /** Returns how many loads this owner has under way, for the other owners. */
+  /**
+   * Returns the number of loads that this owner has in progress, for its reports to the other
+   * owners.
+   */
   public int loadsUnderWay() {
-    return turns.underWay();
+    return limiter.inProgress();
   }
 
   /**
-   * Tells how many loads the other owners had under way by their last reports.
+   * Records the number of loads that the other owners had in progress by their last reports.
    *
    * @param nowMs the time
    * @param loads the sum over the other owners that share the weight store
    */
   public void otherLoads(long nowMs, int loads) {
-    turns.others(nowMs, loads);
+    limiter.recordOtherLoads(nowMs, loads);
   }
 
   @Override
-  public void weigh(PlacementWeights newWeights, boolean mayPrefetch) {
+  public void weigh(PlacementWeights newWeights, boolean prefetches) {
     weights = newWeights;
-    prefetches = mayPrefetch;
+    prefetchEnabled = prefetches;
   }
 
   @Override
-  public int freePlaces() {
+  public int freeStreams() {
     boolean any = false;
     int free = 0;
     for (EndpointState endpoint : endpoints.values()) {
@@ -246,29 +256,30 @@
             e ->
                 e.load(
                     queuedFor.getOrDefault(e.id, List.of()),
-                    adapter -> demand.of(lastMs, adapter) >= hotDemand,
-                    price(e)))
+                    adapter -> demand.of(lastEventMs, adapter) >= hotDemand,
+                    evictionPrice(e)))
         .toList();
   }
 
   /**
-   * Returns what the next load on an endpoint evicts, for entries that choose between endpoints.
+   * Returns the demand of the adapter that the next load on an endpoint evicts, for entries that
+   * choose between endpoints.
    */
-  private int price(EndpointState endpoint) {
+  private int evictionPrice(EndpointState endpoint) {
     if (endpoint.hasFreeSlot()) {
       return 0;
     }
-    EndpointState.Slot cheapest = cheapest(lastMs, endpoint);
+    EndpointState.Slot cheapest = cheapestVictim(lastEventMs, endpoint);
     return cheapest == null
         ? EndpointLoad.NOTHING_TO_EVICT
-        : (int) Math.round(demand.of(lastMs, cheapest.adapter) * HUNDREDTHS);
+        : (int) Math.round(demand.of(lastEventMs, cheapest.adapter) * HUNDREDTHS_PER_REQUEST);
   }
 
   private List<PlacementAction> decide(long nowMs) {
-    lastMs = nowMs;
+    lastEventMs = nowMs;
     List<PlacementAction> actions = new ArrayList<>();
     startReady(actions);
-    if (turns.free()) {
+    if (limiter.isIdle()) {
       load(nowMs, actions);
     }
     return actions;
@@ -280,7 +291,7 @@
         Comparator.comparing(WaitingGroup::urgency).thenComparingLong(WaitingGroup::oldestMs));
     for (WaitingGroup group : groups) {
       for (WaitingGroup.Queued entry : List.copyOf(group.requests)) {
-        Optional<EndpointState.Slot> copy = copyFor(entry.request());
+        Optional<EndpointState.Slot> copy = selectCopy(entry.request());
         if (copy.isEmpty()) {
           break;
         }
@@ -289,10 +300,13 @@
     }
   }
 
-  /** Chooses the copy on the busiest endpoint that has a place: batches fill up one by one. */
-  private Optional<EndpointState.Slot> copyFor(PlacementRequest request) {
+  /**
+   * Returns the ready copy on the busiest endpoint with stream capacity, so that batches fill up
+   * one by one.
+   */
+  private Optional<EndpointState.Slot> selectCopy(PlacementRequest request) {
     return active(request.model()).stream()
-        .filter(EndpointState::hasStreamPlace)
+        .filter(EndpointState::hasStreamCapacity)
         .flatMap(endpoint -> endpoint.slots.stream())
         .filter(slot -> slot.ready() && slot.adapter.equals(request.adapter()))
         .max(Comparator.comparingInt(slot -> slot.endpoint.streams));
@@ -316,26 +330,26 @@
     wanted.sort(Comparator.comparingDouble(group -> -group.loadValue(nowMs, AGING_MS)));
     for (WaitingGroup group : wanted) {
       long waitedMs = nowMs - group.oldestMs();
-      if (!turns.mayBegin(nowMs, waitedMs, patienceMs(group.urgency()))) {
+      if (!limiter.mayStart(nowMs, waitedMs, maxDelayMs(group.urgency()))) {
         continue;
       }
       if (load(nowMs, group.adapter, group.preferred(), active(group.model), actions)) {
         return;
       }
     }
-    if (prefetches && wanted.isEmpty() && turns.mayBegin(nowMs, 0, 1)) {
+    if (prefetchEnabled && wanted.isEmpty() && limiter.mayStart(nowMs, 0, 1)) {
       prefetch(nowMs, actions);
     }
   }
 
-  private long patienceMs(Urgency urgency) {
-    long patienceMs = PATIENCE_LOADS * settings.loadAloneMs();
-    return urgency == Urgency.DEADLINE ? patienceMs / 2 : patienceMs;
+  private long maxDelayMs(Urgency urgency) {
+    long maxDelayMs = MAX_DELAY_LOADS * settings.loadAloneMs();
+    return urgency == Urgency.DEADLINE ? maxDelayMs / 2 : maxDelayMs;
   }
 
   private boolean needsLoad(long nowMs, WaitingGroup group) {
-    long readyMs = nowMs + (long) (settings.loadAloneMs() * turns.contention());
-    if (backsOff(nowMs, group.adapter) || group.latestDeadlineMs() < readyMs) {
+    long readyMs = nowMs + (long) (settings.loadAloneMs() * limiter.contention());
+    if (isBackingOff(nowMs, group.adapter) || group.latestDeadlineMs() < readyMs) {
       return false;
     }
     int copies = 0;
@@ -361,23 +375,23 @@
     double wanted = demand.of(nowMs, adapter);
     EndpointState best = null;
     EndpointState.Slot victim = null;
-    double least = Double.POSITIVE_INFINITY;
+    double lowestCost = Double.POSITIVE_INFINITY;
     for (EndpointState endpoint : candidates) {
       if (endpoint.holds(adapter)) {
         continue;
       }
-      EndpointState.Slot cheapest = endpoint.hasFreeSlot() ? null : cheapest(nowMs, endpoint);
+      EndpointState.Slot cheapest = endpoint.hasFreeSlot() ? null : cheapestVictim(nowMs, endpoint);
       if (cheapest == null && !endpoint.hasFreeSlot()) {
         continue;
       }
-      double cost = cheapest == null ? FREE : worth(nowMs, cheapest);
-      if (endpoint.id.equals(preferred) && cost < wanted * DESERVES) {
-        cost = FREE - 1;
+      double cost = cheapest == null ? FREE_SLOT_COST : evictionCost(nowMs, cheapest);
+      if (endpoint.id.equals(preferred) && cost < wanted * MAX_VICTIM_DEMAND_RATIO) {
+        cost = FREE_SLOT_COST - 1;
       }
-      if (cost < least) {
+      if (cost < lowestCost) {
         best = endpoint;
         victim = cheapest;
-        least = cost;
+        lowestCost = cost;
       }
     }
     if (best == null) {
@@ -386,37 +400,40 @@
     Optional<LoadHandle> evicted = Optional.ofNullable(victim).map(slot -> slot.handle);
     best.slots.remove(victim);
     best.add(nowMs, adapter);
-    turns.begin();
+    limiter.acquire();
     actions.add(new PlacementAction.Load(best.id, adapter, evicted));
     return true;
   }
 
   /**
-   * Returns what evicting an adapter loses; less on a busy endpoint, whose batch the load joins.
+   * Returns the cost of evicting an adapter: its demand, with a discount on a busy endpoint, whose
+   * batch the load joins.
    */
-  private double worth(long nowMs, EndpointState.Slot slot) {
+  private double evictionCost(long nowMs, EndpointState.Slot slot) {
     double busy = slot.endpoint.streams / (double) slot.endpoint.maxStreams;
-    return demand.of(nowMs, slot.adapter) - PACKING * weights.batchPreference() * busy;
+    return demand.of(nowMs, slot.adapter) - FULL_BATCH_DISCOUNT * weights.batchPreference() * busy;
   }
 
-  private EndpointState.Slot cheapest(long nowMs, EndpointState endpoint) {
+  private EndpointState.Slot cheapestVictim(long nowMs, EndpointState endpoint) {
     EndpointState.Slot cheapest = null;
     for (EndpointState.Slot slot : endpoint.slots) {
       boolean evictable = slot.idle() && !waiting.containsKey(slot.adapter);
-      if (evictable && (cheapest == null || worth(nowMs, slot) < worth(nowMs, cheapest))) {
+      if (evictable
+          && (cheapest == null || evictionCost(nowMs, slot) < evictionCost(nowMs, cheapest))) {
         cheapest = slot;
       }
     }
     return cheapest;
   }
 
-  private boolean backsOff(long nowMs, AdapterVersion adapter) {
+  private boolean isBackingOff(long nowMs, AdapterVersion adapter) {
     Failures failed = failures.get(adapter);
     return failed != null && nowMs < failed.retryAtMs;
   }
 
   /**
-   * Fills free slots with what was wanted most, so that a cold engine is warm before it is asked.
+   * Fills free slots with the adapters in highest demand, so that a cold engine has them before
+   * requests for them arrive.
    */
   private void prefetch(long nowMs, List<PlacementAction> actions) {
     List<EndpointState> free =
@@ -427,7 +444,7 @@
     for (AdapterVersion adapter : demand.hottest(nowMs)) {
       ModelId model = models.get(adapter);
       boolean held = active(model).stream().anyMatch(e -> e.holds(adapter));
-      if (held || backsOff(nowMs, adapter)) {
+      if (held || isBackingOff(nowMs, adapter)) {
         continue;
       }
       List<EndpointState> fitting = free.stream().filter(e -> e.model.equals(model)).toList();
@@ -440,8 +457,8 @@
   private List<PlacementAction> loadFailed(long nowMs, AdapterVersion adapter) {
     Failures failed = failures.computeIfAbsent(adapter, a -> new Failures());
     failed.count++;
-    long pauseMs = settings.retryMs() << Math.min(failed.count - 1, settings.maxFailures());
-    failed.retryAtMs = nowMs + pauseMs;
+    long backoffMs = settings.retryMs() << Math.min(failed.count - 1, settings.maxFailures());
+    failed.retryAtMs = nowMs + backoffMs;
     if (failed.count < settings.maxFailures()) {
       return List.of();
     }
@@ -450,13 +467,13 @@
     if (group != null) {
       for (WaitingGroup.Queued entry : List.copyOf(group.requests)) {
         dequeue(entry.request().id());
-        actions.addAll(refuse(entry.request().id(), RefusalReason.LOAD_FAILED, pauseMs));
+        actions.addAll(refuse(entry.request().id(), RefusalReason.LOAD_FAILED, backoffMs));
       }
     }
     return actions;
   }
 
-  private void refuseLate(long nowMs, List<PlacementAction> actions) {
+  private void refuseExpired(long nowMs, List<PlacementAction> actions) {
     for (WaitingGroup group : List.copyOf(waiting.values())) {
       for (WaitingGroup.Queued entry : List.copyOf(group.requests)) {
         if (entry.request().deadlineMs() <= nowMs) {
@@ -467,19 +484,19 @@
     }
   }
 
-  private void giveUpHung(long nowMs) {
+  private void timeOutHungLoads(long nowMs) {
     for (EndpointState endpoint : endpoints.values()) {
       for (EndpointState.Slot slot : endpoint.slots) {
         boolean late = nowMs - slot.loadedAtMs >= settings.hungAfterMs();
         if (!slot.ready() && !slot.hung && late) {
           slot.hung = true;
-          turns.end();
+          limiter.release();
         }
       }
     }
   }
 
-  private void forget(EndpointId id) {
+  private void removeEndpoint(EndpointId id) {
     EndpointState old = endpoints.remove(id);
     if (old == null) {
       return;
@@ -487,7 +504,7 @@
     running.values().removeIf(run -> run.slot().endpoint == old);
     for (EndpointState.Slot slot : old.slots) {
       if (!slot.ready() && !slot.hung) {
-        turns.end();
+        limiter.release();
       }
     }
   }
@@ -516,7 +533,8 @@
         .toList();
   }
 
-  private static List<PlacementAction> refuse(RequestId id, RefusalReason reason, long comeBack) {
-    return List.of(new PlacementAction.Refuse(id, reason, comeBack));
+  private static List<PlacementAction> refuse(
+      RequestId id, RefusalReason reason, long retryAfterMs) {
+    return List.of(new PlacementAction.Refuse(id, reason, retryAfterMs));
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/DemandTable.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/DemandTable.java
@@ -6,14 +6,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts requests per adapter version, each worth half as much after each half-life. */
+/**
+ * Request count per adapter version with exponential decay: each request counts half after each
+ * half-life.
+ */
 final class DemandTable {
 
-  /** A demand below this is forgotten: ten half-lives after a single request. */
-  private static final double FORGOTTEN = 0.001;
+  /** Demand below which an adapter is removed: reached ten half-lives after a single request. */
+  private static final double MIN_DEMAND = 0.001;
 
-  /** Requests a half-life that a silence of one half-life still allows. */
-  private static final double SILENCE = 2;
+  /**
+   * Cap on the demand of an adapter without requests for one half-life, in requests per half-life.
+   */
+  private static final double IDLE_DEMAND_CAP = 2;
 
   private static final class Count {
     double value;
@@ -35,10 +40,10 @@
 
   double of(long nowMs, AdapterVersion adapter) {
     Count count = counts.get(adapter);
-    return count == null ? 0 : likely(nowMs, count);
+    return count == null ? 0 : capped(nowMs, count);
   }
 
-  /** Returns the adapters in demand, most wanted first. */
+  /** Returns the adapters in demand, highest demand first. */
   List<AdapterVersion> hottest(long nowMs) {
     return counts.keySet().stream()
         .sorted(
@@ -47,9 +52,9 @@
         .toList();
   }
 
-  /** Forgets adapters that nobody asked for in a long time, so that memory follows the demand. */
+  /** Removes adapters without recent requests, so that memory use follows the demand. */
   void prune(long nowMs) {
-    counts.values().removeIf(count -> decayed(nowMs, count) < FORGOTTEN);
+    counts.values().removeIf(count -> decayed(nowMs, count) < MIN_DEMAND);
   }
 
   int size() {
@@ -57,12 +62,13 @@
   }
 
   /**
-   * Returns the demand, at most what so long a silence still allows: an adapter that moved away or
-   * fell out of favour would otherwise hold its slot for several half-lives.
+   * Returns the demand, capped in inverse proportion to the time since the last request. Without
+   * the cap an adapter that moved away or lost its callers would hold its slot for several
+   * half-lives.
    */
-  private double likely(long nowMs, Count count) {
-    double silenceMs = Math.max(1, nowMs - count.atMs);
-    return Math.min(decayed(nowMs, count), SILENCE * halfLifeMs / silenceMs);
+  private double capped(long nowMs, Count count) {
+    double idleMs = Math.max(1, nowMs - count.atMs);
+    return Math.min(decayed(nowMs, count), IDLE_DEMAND_CAP * halfLifeMs / idleMs);
   }
 
   private double decayed(long nowMs, Count count) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/EndpointLoad.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/EndpointLoad.java
@@ -6,16 +6,17 @@
 import java.util.Set;
 
 /**
- * Tells an entry how busy an endpoint is, by its owner's own count; old by the time it is read.
+ * Load hint for entries: how busy an endpoint is by its owner's count. It may be out of date by the
+ * time it is read.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param endpoint the endpoint
  * @param streams requests that run on it
- * @param queued requests that wait at its owner and were routed to it
- * @param maxStreams streams that it runs at once
- * @param adapters what it holds, loads, or will load for requests that wait
- * @param hot those that are asked for so often that they should share an endpoint
+ * @param queued requests that are queued at its owner and were routed to it
+ * @param maxStreams streams that it can run at the same time
+ * @param adapters adapters that it holds, loads, or will load for queued requests
+ * @param hot adapters in such demand that their requests should share an endpoint
  * @param price demand of the adapter that its next load evicts, in hundredths of a request; 0 with
  *     a free slot
  */
@@ -31,13 +32,13 @@
   /** Price of an endpoint on which every slot is in use. */
   public static final int NOTHING_TO_EVICT = Integer.MAX_VALUE;
 
-  /** Creates a hint that calls no adapter hot. */
+  /** Creates a hint without hot adapters, at price 0. */
   public EndpointLoad(
       EndpointId endpoint, int streams, int queued, int maxStreams, Set<AdapterVersion> adapters) {
     this(endpoint, streams, queued, maxStreams, adapters, Set.of(), 0);
   }
 
-  /** Checks the parts and copies the sets. */
+  /** Validates the components and copies the sets. */
   public EndpointLoad {
     Objects.requireNonNull(endpoint, "endpoint");
     adapters = Set.copyOf(adapters);
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/EndpointState.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/EndpointState.java
@@ -10,16 +10,20 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** What the owner knows exactly of one endpoint, since it gives all orders and sends all work. */
+/**
+ * Owner's state of one endpoint. It is exact, since the owner gives all orders and sends all work.
+ */
 final class EndpointState {
 
-  /** One slot that is not free. */
+  /** One slot that is in use. */
   static final class Slot {
     final EndpointState endpoint;
     final AdapterVersion adapter;
     final long loadedAtMs;
     LoadHandle handle;
     int streams;
+
+    /** Whether its load holds no permit: the load timed out, or another owner ordered it. */
     boolean hung;
 
     Slot(EndpointState endpoint, AdapterVersion adapter, long loadedAtMs) {
@@ -32,7 +36,9 @@
       return handle != null;
     }
 
-    /** Tells whether the adapter may be evicted as far as running work goes. */
+    /**
+     * Returns whether the adapter is ready and has no running stream, so that it may be evicted.
+     */
     boolean idle() {
       return ready() && streams == 0;
     }
@@ -61,7 +67,7 @@
     return new EndpointLoad(id, streams, queued.size(), maxStreams, adapters, hot, price);
   }
 
-  boolean hasStreamPlace() {
+  boolean hasStreamCapacity() {
     return streams < maxStreams;
   }
 
@@ -69,37 +75,40 @@
     return slots.size() < maxSlots;
   }
 
-  /** Takes a slot for a load that this owner did not order; its turn is not counted here. */
-  void addForeign(long nowMs, AdapterVersion adapter) {
+  /** Takes a slot for a load that another owner ordered; it holds no load permit of this owner. */
+  void addForeignLoad(long nowMs, AdapterVersion adapter) {
     add(nowMs, adapter).hung = true;
   }
 
   /**
-   * Takes over what the engine says it holds where that differs from what its orders' answers told:
-   * a load of a former owner that ended since, or one whose answer was lost. Without it a slot that
-   * counts as free here is not: every load into it is refused, for as long as the engine runs. To
-   * be called with a status read while no order was under way, so it cannot be older than one.
+   * Corrects the slots by a status that the engine reported. They differ if a load of a former
+   * owner has ended since, or if the answer to a load order was lost. Without the correction a slot
+   * that counts as free here is in use on the engine, and every load into it is refused for as long
+   * as the engine runs.
+   *
+   * <p>The status must have been read while no order was in progress, so that it is not older than
+   * an order.
    *
    * @return whether anything differed
    */
   boolean reconcile(long nowMs, EndpointStatus status) {
-    boolean changed = slots.removeIf(slot -> isGone(slot, status));
+    boolean changed = slots.removeIf(slot -> isStale(slot, status));
     for (Resident resident : status.residents()) {
-      // What runs there was started by another owner; its end would not be heard of here.
+      // Runs on it were started by another owner; their ends would not be reported here.
       if (resident.running().isEmpty()) {
         changed |= adopt(nowMs, resident.adapter(), resident.handle());
       }
     }
     for (AdapterVersion adapter : status.loading()) {
       if (!holds(adapter) && hasFreeSlot()) {
-        addForeign(nowMs, adapter);
+        addForeignLoad(nowMs, adapter);
         changed = true;
       }
     }
     return changed;
   }
 
-  private static boolean isGone(Slot slot, EndpointStatus status) {
+  private static boolean isStale(Slot slot, EndpointStatus status) {
     boolean resident =
         status.residents().stream()
             .anyMatch(
@@ -111,10 +120,13 @@
     return !resident && (slot.idle() || (foreignLoad && !status.loading().contains(slot.adapter)));
   }
 
-  /** Takes in a copy that is not known here, if a slot is left for it; returns whether it was. */
+  /**
+   * Records a loaded copy that is not in the slots, if a slot is free for it; returns whether it
+   * was recorded.
+   */
   boolean adopt(long nowMs, AdapterVersion adapter, LoadHandle handle) {
     Optional<Slot> loading = loading(adapter);
-    if (knows(handle) || (loading.isEmpty() && !hasFreeSlot())) {
+    if (hasHandle(handle) || (loading.isEmpty() && !hasFreeSlot())) {
       return false;
     }
     loading.orElseGet(() -> add(nowMs, adapter)).handle = handle;
@@ -127,7 +139,7 @@
     return slot;
   }
 
-  /** Returns the slot whose load is under way. */
+  /** Returns the slot in which a load of the adapter is in progress. */
   Optional<Slot> loading(AdapterVersion adapter) {
     return slots.stream().filter(s -> !s.ready() && s.adapter.equals(adapter)).findFirst();
   }
@@ -136,7 +148,7 @@
     return slots.stream().anyMatch(slot -> slot.adapter.equals(adapter));
   }
 
-  private boolean knows(LoadHandle handle) {
+  private boolean hasHandle(LoadHandle handle) {
     return slots.stream().anyMatch(slot -> handle.equals(slot.handle));
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/EndpointStatus.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/EndpointStatus.java
@@ -7,16 +7,16 @@
 import java.util.Objects;
 
 /**
- * What an endpoint holds and can hold, as its engine tells a new owner.
+ * Contents and capacity of an endpoint, as its engine reports them.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param endpoint the endpoint
  * @param model the base model that it runs
- * @param slots adapters that it holds at once, at least 1
- * @param maxStreams streams that it runs at once, at least 1
- * @param residents what it holds ready
- * @param loading what it loads, one entry for each slot that a load has taken
+ * @param slots adapters that it can hold at the same time, at least 1
+ * @param maxStreams streams that it can run at the same time, at least 1
+ * @param residents adapters that are ready
+ * @param loading adapters being loaded, one entry for each slot that a load has taken
  */
 public record EndpointStatus(
     EndpointId endpoint,
@@ -26,13 +26,13 @@
     List<Resident> residents,
     List<AdapterVersion> loading) {
 
-  /** Makes the status of an endpoint that loads nothing. */
+  /** Creates the status of an endpoint without loads in progress. */
   public EndpointStatus(
       EndpointId endpoint, ModelId model, int slots, int maxStreams, List<Resident> residents) {
     this(endpoint, model, slots, maxStreams, residents, List.of());
   }
 
-  /** Checks the parts and copies the lists. */
+  /** Validates the components and copies the lists. */
   public EndpointStatus {
     Objects.requireNonNull(endpoint, "endpoint");
     Objects.requireNonNull(model, "model");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/HotAdapters.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/HotAdapters.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 
 /**
- * Tells an entry which adapters are hot, by what their owners say in their load hints.
+ * Set of hot adapters, as reported by their owners in load hints.
  *
  * <pre>{@code
  * hot.learn(clock.millis(), hint);
  * router.rank(adapter, 1, hot.contains(clock.millis(), adapter), candidates);
  * }</pre>
  *
- * <p>Owners say it and not each entry for itself: entries that see a share of the requests each
- * come to different verdicts, and each difference costs a second load of the adapter. Not safe for
- * use by several threads: one shard calls it under its lock.
+ * <p>Owners decide which adapters are hot, not each entry for itself: entries that each see a share
+ * of the requests would decide differently, and each difference costs a second load of the adapter.
+ * Not safe for use by several threads: one shard calls it under its lock.
  */
 public final class HotAdapters {
 
@@ -22,10 +22,10 @@
   private final Map<AdapterVersion, Long> untilMs = new HashMap<>();
 
   /**
-   * Creates an empty table.
+   * Creates an empty set.
    *
-   * @param keepMs how long an adapter stays hot after the last hint that says so: several
-   *     half-lives of demand, since an endpoint that it moved to counts it from nothing
+   * @param keepMs how long an adapter stays hot after the last hint that lists it: several
+   *     half-lives of demand, since an endpoint that it moved to starts counting at zero
    */
   public HotAdapters(long keepMs) {
     if (keepMs < 1) {
@@ -34,7 +34,7 @@
     this.keepMs = keepMs;
   }
 
-  /** Learns from an owner's hint. */
+  /** Adds the hot adapters of an owner's hint and removes expired ones. */
   public void learn(long nowMs, EndpointLoad load) {
     untilMs.values().removeIf(until -> until <= nowMs);
     for (AdapterVersion adapter : load.hot()) {
@@ -42,7 +42,7 @@
     }
   }
 
-  /** Tells whether an owner called the adapter hot not long ago. */
+  /** Returns whether a hint within the last {@code keepMs} listed the adapter as hot. */
   public boolean contains(long nowMs, AdapterVersion adapter) {
     return untilMs.getOrDefault(adapter, nowMs) > nowMs;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/LoadHandle.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/LoadHandle.java
@@ -1,16 +1,16 @@
 package io.sequoiapass.daemon.process.placement;
 
 /**
- * Names one load of an adapter version into a slot; loading the same version again gives a new
- * handle, so an unload that comes late names a handle that nobody serves any more.
+ * Identifier of one load of an adapter version into a slot. Loading the same version again gives a
+ * new handle, so a late unload order names a handle that is not in use.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the engine's name for the load, not blank
+ * @param value the engine's identifier for the load, not blank
  */
 public record LoadHandle(String value) {
 
-  /** Checks the name. */
+  /** Validates the value. */
   public LoadHandle {
     if (value == null || value.isBlank()) {
       throw new IllegalArgumentException("handle must not be blank: " + value);
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/LoadResult.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/LoadResult.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 
 /**
- * How a load ended.
+ * Result of a load.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param endpoint where it was loaded
- * @param adapter what was loaded
+ * @param endpoint the endpoint of the load
+ * @param adapter the adapter version of the load
  * @param handle the handle, or empty if the load failed
  */
 public record LoadResult(EndpointId endpoint, AdapterVersion adapter, Optional<LoadHandle> handle) {
 
-  /** Checks the parts. */
+  /** Validates the components. */
   public LoadResult {
     Objects.requireNonNull(endpoint, "endpoint");
     Objects.requireNonNull(adapter, "adapter");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/LruPlacement.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/LruPlacement.java
@@ -17,8 +17,8 @@
 import java.util.Set;
 
 /**
- * Serves each request on the endpoint that the router chose and evicts what was used longest ago:
- * the simplest placement that keeps every promise, and the baseline of the others.
+ * Serves each request on the endpoint that the router chose and evicts the least recently used
+ * adapter: the simplest placement that meets all guarantees, and the baseline for the others.
  *
  * <p>Not safe for use by several threads.
  */
@@ -26,12 +26,12 @@
 
   private static final long RETRY_LOAD_MS = 500;
   private static final int MAX_LOAD_FAILURES = 3;
-  private static final long COME_BACK_MS = 1_000;
+  private static final long RETRY_AFTER_MS = 1_000;
 
   private final Map<EndpointId, Engine> engines = new LinkedHashMap<>();
   private final Map<RequestId, Engine> started = new HashMap<>();
 
-  /** Makes a placement without endpoints. */
+  /** Creates a placement without endpoints. */
   public LruPlacement() {}
 
   @Override
@@ -80,12 +80,14 @@
   }
 
   private static PlacementAction refusal(PlacementRequest request, RefusalReason reason) {
-    return new PlacementAction.Refuse(request.id(), reason, COME_BACK_MS);
+    return new PlacementAction.Refuse(request.id(), reason, RETRY_AFTER_MS);
   }
 
   @Override
   public List<PlacementAction> requestWithdrawn(long nowMs, RequestId request) {
-    engines.values().forEach(engine -> engine.waiting.removeIf(one -> one.id().equals(request)));
+    engines
+        .values()
+        .forEach(engine -> engine.waiting.removeIf(waiting -> waiting.id().equals(request)));
     return List.of();
   }
 
@@ -189,7 +191,7 @@
     return Optional.of(new PlacementAction.Load(engine.status.endpoint(), adapter, evict));
   }
 
-  /** Is one endpoint. */
+  /** State of one endpoint. */
   private static final class Engine {
     private final EndpointStatus status;
     private final Map<AdapterVersion, Copy> copies = new HashMap<>();
@@ -211,7 +213,7 @@
     }
   }
 
-  /** Is one resident adapter. */
+  /** One resident adapter. */
   private static final class Copy {
     private final LoadHandle handle;
     private final Set<RequestId> running;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Placement.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Placement.java
@@ -5,69 +5,71 @@
 import java.util.List;
 
 /**
- * Places requests and adapters on the endpoints that one daemon owns.
+ * Assigns requests and adapters to the endpoints that one daemon owns.
  *
  * <pre>{@code
  * List<PlacementAction> actions = placement.requestArrived(clock.millis(), request);
  * }</pre>
  *
- * <p>Each call takes the owner's monotonic time and returns what to do now, in order. Not safe for
- * use by several threads: one shard calls it under its lock.
+ * <p>Each call takes the owner's monotonic time and returns the actions to perform, in order. Not
+ * safe for use by several threads: one shard calls it under its lock.
  */
 public interface Placement {
 
   /**
-   * An endpoint was taken over or started, or joins again after a restart with what it then holds;
-   * requests and loads that it had are forgotten, for its status names what is left of them.
+   * Adds an endpoint that was taken over, started or restarted. Requests and loads that were
+   * recorded for it are dropped, since its status lists those that remain.
    */
   List<PlacementAction> endpointJoined(long nowMs, EndpointStatus status);
 
   /**
-   * An endpoint that joined before told what it holds, and no order to it was under way meanwhile.
-   * It may hold more than its orders' answers said, as when an answer was lost.
+   * Compares a joined endpoint with a status that its engine reported while no order to it was in
+   * progress. It may hold more than the answers to its orders reported, for example after an answer
+   * was lost.
    */
-  default List<PlacementAction> endpointSeen(long nowMs, EndpointStatus status) {
+  default List<PlacementAction> endpointReported(long nowMs, EndpointStatus status) {
     return List.of();
   }
 
-  /** An endpoint was handed over or lost; requests that wait for it stay queued. */
+  /** Removes an endpoint that was handed over or lost; requests that wait for it stay queued. */
   List<PlacementAction> endpointLeft(long nowMs, EndpointId endpoint);
 
-  /** An endpoint takes no new work from now on; running work goes on. */
+  /** Stops sending new work to an endpoint; running requests continue. */
   List<PlacementAction> endpointDraining(long nowMs, EndpointId endpoint);
 
-  /** A request came in. */
+  /** Adds a request. */
   List<PlacementAction> requestArrived(long nowMs, PlacementRequest request);
 
-  /** A request was cancelled or timed out while it was queued. */
+  /** Removes a queued request that was cancelled or timed out. */
   List<PlacementAction> requestWithdrawn(long nowMs, RequestId request);
 
-  /** A request that was started ended in whatever way; its stream place is free. */
+  /** Records the end of a started request, whatever its outcome; its stream capacity is free. */
   List<PlacementAction> requestFinished(long nowMs, RequestId request);
 
-  /** A load ended. */
+  /** Records the end of a load. */
   List<PlacementAction> loadFinished(long nowMs, LoadResult result);
 
-  /** Time went by; called every 10 to 50 ms. */
+  /** Advances the time; called every 10 to 50 ms. */
   List<PlacementAction> tick(long nowMs);
 
   /**
-   * Another preset came into force.
+   * Applies the weights of another preset.
    *
-   * @param weights what counts more from now on
-   * @param prefetches whether adapters that nobody waits for may be loaded
+   * @param weights the new weights
+   * @param prefetches whether adapters that no request waits for may be loaded
    */
   default void weigh(PlacementWeights weights, boolean prefetches) {}
 
   /**
-   * Returns how many more requests could run now if their adapters were loaded. Without an endpoint
-   * it is as many as one likes: there is no place to wait for, so what comes is refused.
+   * Returns how many more requests could run if their adapters were loaded. Without an endpoint
+   * that takes new work it is {@link Integer#MAX_VALUE}: there is no capacity to wait for, so
+   * arriving requests are refused.
    */
-  default int freePlaces() {
+  default int freeStreams() {
     return Integer.MAX_VALUE;
   }
 
-  /** Returns how busy each endpoint is, as a hint for the entries' routers; perhaps nothing. */
+  /** Returns a load hint for each endpoint, for the entries' routers; may be empty. */
   default List<EndpointLoad> loads() {
     return List.of();
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/PlacementAction.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/PlacementAction.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * What the owner does next for the placement.
+ * Action that a placement requests from the owner.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
 public sealed interface PlacementAction {
 
   /**
-   * Writes a request to an endpoint.
+   * Sends a request to an endpoint.
    *
    * @param request the request
    * @param endpoint where it runs
@@ -23,7 +23,7 @@
    */
   record Start(RequestId request, EndpointId endpoint, AdapterVersion adapter, LoadHandle handle)
       implements PlacementAction {
-    /** Checks the parts. */
+    /** Validates the components. */
     public Start {
       Objects.requireNonNull(request, "request");
       Objects.requireNonNull(endpoint, "endpoint");
@@ -33,15 +33,15 @@
   }
 
   /**
-   * Unloads an idle adapter, if one is named, then loads another.
+   * Loads an adapter, after unloading an idle one if one is named.
    *
-   * @param endpoint where
-   * @param adapter what to load
-   * @param evict what to unload first
+   * @param endpoint the endpoint
+   * @param adapter the adapter to load
+   * @param evict the load to unload first
    */
   record Load(EndpointId endpoint, AdapterVersion adapter, Optional<LoadHandle> evict)
       implements PlacementAction {
-    /** Checks the parts. */
+    /** Validates the components. */
     public Load {
       Objects.requireNonNull(endpoint, "endpoint");
       Objects.requireNonNull(adapter, "adapter");
@@ -50,20 +50,20 @@
   }
 
   /**
-   * Gives a request back to its entry; nothing of it ran.
+   * Returns a request to its entry; no part of it ran.
    *
    * @param request the request
-   * @param reason why
-   * @param comeBackMs after how long another try makes sense, at least 0
+   * @param reason why it is refused
+   * @param retryAfterMs delay after which a retry is worthwhile, at least 0
    */
-  record Refuse(RequestId request, RefusalReason reason, long comeBackMs)
+  record Refuse(RequestId request, RefusalReason reason, long retryAfterMs)
       implements PlacementAction {
-    /** Checks the parts. */
+    /** Validates the components. */
     public Refuse {
       Objects.requireNonNull(request, "request");
       Objects.requireNonNull(reason, "reason");
-      if (comeBackMs < 0) {
-        throw new IllegalArgumentException("comeBackMs must not be negative: " + comeBackMs);
+      if (retryAfterMs < 0) {
+        throw new IllegalArgumentException("retryAfterMs must not be negative: " + retryAfterMs);
       }
     }
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/PlacementPolicy.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/PlacementPolicy.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.daemon.process.placement;
 
-/** Names the placements that a daemon can run. */
+/** Placement implementations that a daemon can run. */
 public enum PlacementPolicy {
-  /** Weighs demand, the weight store and full batches. */
+  /** Weighs demand, weight store load and batch efficiency. */
   ADAPTIVE {
     @Override
     public Placement create(PlacementSettings settings, PlacementWeights weights) {
       return new AdaptivePlacement(settings, weights);
     }
   },
-  /** Evicts what was used longest ago: the baseline that measurements compare with. */
+  /** Evicts the least recently used adapter: the baseline for comparisons. */
   LRU {
     @Override
     public Placement create(PlacementSettings settings, PlacementWeights weights) {
@@ -21,7 +21,7 @@
    * Returns a placement without endpoints.
    *
    * @param settings times and bounds
-   * @param weights what counts more
+   * @param weights weights of load stalls and batch efficiency
    */
   public abstract Placement create(PlacementSettings settings, PlacementWeights weights);
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/PlacementRequest.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/PlacementRequest.java
@@ -7,15 +7,15 @@
 import java.util.Objects;
 
 /**
- * What the placement has to know of a request.
+ * Request as the placement sees it.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param id names the request
+ * @param id the request's identifier
  * @param adapter the adapter version that it must run on
  * @param model the adapter's base model
  * @param urgency how soon the answer is needed
- * @param deadlineMs when the answer is of no more use, on the owner's clock
+ * @param deadlineMs time after which the answer has no use, on the owner's clock
  * @param expectedTokens tokens that the answer may have, at least 1
  * @param preferred the endpoint that the entry's router chose
  */
@@ -28,7 +28,7 @@
     int expectedTokens,
     EndpointId preferred) {
 
-  /** Checks the parts. */
+  /** Validates the components. */
   public PlacementRequest {
     Objects.requireNonNull(id, "id");
     Objects.requireNonNull(adapter, "adapter");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/PlacementSettings.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/PlacementSettings.java
@@ -1,7 +1,7 @@
 package io.sequoiapass.daemon.process.placement;
 
 /**
- * Times and bounds of the placement, each shaped by the weight store or by the fleet's size.
+ * Times and bounds of the placement, each determined by the weight store or by the fleet's size.
  *
  * <pre>{@code
  * PlacementSettings settings = PlacementSettings.defaults();
@@ -9,17 +9,17 @@
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param demandHalfLifeMs after how long a request counts half in an adapter's demand: long enough
- *     that the adapters at the edge of what fits are seen twice within it
- * @param hotDemand demand, in requests of the last half-life or so, from which an adapter is hot
- *     where stalls and batches weigh the same: it then keeps a stream going for a good part of the
+ * @param demandHalfLifeMs half-life of a request in an adapter's demand: long enough that adapters
+ *     that just fit into the slots are requested twice within it
+ * @param hotDemand demand, in requests of about the last half-life, from which an adapter is hot if
+ *     stalls and batches have equal weight: it then keeps a stream busy for a large part of the
  *     time
- * @param loadAloneMs how long a load takes when the weight store serves no other
- * @param hungAfterMs when a load is given up as hung; several times what a load takes when every
- *     owner loads at once
- * @param retryMs pause after a failed load; doubles with each further failure of the adapter
- * @param maxFailures failed loads in a row after which the requests that wait are refused
- * @param maxQueued requests that may wait at this owner
+ * @param loadAloneMs duration of a load when the weight store serves no other
+ * @param hungAfterMs timeout of a load; several times the duration of a load while every owner
+ *     loads
+ * @param retryMs delay after a failed load; doubles with each further failure of the adapter
+ * @param maxFailures consecutive load failures after which the waiting requests are refused
+ * @param maxQueued requests that may be queued at this owner
  */
 public record PlacementSettings(
     long demandHalfLifeMs,
@@ -38,7 +38,7 @@
   private static final int DEFAULT_MAX_FAILURES = 5;
   private static final int DEFAULT_MAX_QUEUED = 2_000;
 
-  /** Checks the bounds. */
+  /** Validates the components. */
   public PlacementSettings {
     check("demandHalfLifeMs", demandHalfLifeMs);
     check("hotDemand", hotDemand);
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Returns the settings for a weight store that gives four loads a second. */
+  /** Returns the settings for a weight store that serves four loads a second. */
   public static PlacementSettings defaults() {
     return new PlacementSettings(
         DEFAULT_HALF_LIFE_MS,
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/PlacementWeights.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/PlacementWeights.java
@@ -1,7 +1,7 @@
 package io.sequoiapass.daemon.process.placement;
 
 /**
- * What a user prefers where load stalls and full batches pull apart.
+ * Weights of load stalls and batch efficiency, which conflict.
  *
  * <pre>{@code
  * PlacementWeights peak = PlacementWeights.BATCHES.times(1.5, 1);
@@ -14,47 +14,47 @@
  */
 public record PlacementWeights(double stall, double batch) {
 
-  /** Share of the endpoints for hot adapters when both weigh the same. */
-  private static final double EVEN_DENSE_SHARE = 0.11;
+  /** Share of the endpoints for hot adapters at equal weights. */
+  private static final double DENSE_SHARE_AT_EQUAL_WEIGHTS = 0.11;
 
   private static final double MAX_DENSE_SHARE = 0.25;
 
-  /** Someone waits for most answers. */
+  /** Avoids load stalls: someone waits for most answers. */
   public static final PlacementWeights STALLS = new PlacementWeights(2, 1);
 
-  /** Long work is billed by engine time. */
+  /** Prefers full batches: long work is billed by engine time. */
   public static final PlacementWeights BATCHES = new PlacementWeights(1, 2);
 
-  /** Checks the weights. */
+  /** Validates the components. */
   public PlacementWeights {
     check("stall", stall);
     check("batch", batch);
   }
 
-  /** Returns these weights multiplied by what the preset in force says. */
+  /** Returns these weights multiplied by the factors of a preset. */
   public PlacementWeights times(double stallFactor, double batchFactor) {
     return new PlacementWeights(stall * stallFactor, batch * batchFactor);
   }
 
   /**
-   * Returns the share of a model's endpoints that hot adapters get, for {@link Router}: fewer make
-   * fuller batches and leave other adapters fewer slots that are seldom evicted.
+   * Returns the share of a model's endpoints for hot adapters, for {@link Router}: fewer endpoints
+   * make fuller batches and leave other adapters fewer slots that are seldom evicted.
    */
   public double denseShare() {
-    return Math.min(MAX_DENSE_SHARE, EVEN_DENSE_SHARE / Math.sqrt(batchPreference()));
+    return Math.min(MAX_DENSE_SHARE, DENSE_SHARE_AT_EQUAL_WEIGHTS / Math.sqrt(batchPreference()));
   }
 
   /**
-   * Returns from which demand an adapter is hot: each hot one makes batches fuller, and takes one
-   * of the few slots that they share from the others.
+   * Returns the demand from which an adapter is hot: each hot adapter makes batches fuller, but
+   * uses one of the few slots that all hot adapters share.
    *
-   * @param even the demand when both weigh the same
+   * @param even the demand at equal weights
    */
   double hotDemand(double even) {
     return even / Math.sqrt(batchPreference());
   }
 
-  /** Returns how much batch efficiency counts against a load stall. */
+  /** Returns the weight of batch efficiency relative to load stalls. */
   double batchPreference() {
     return batch / stall;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Resident.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Resident.java
@@ -6,17 +6,17 @@
 import java.util.Objects;
 
 /**
- * One adapter version that an endpoint holds ready.
+ * Adapter version that is ready on an endpoint.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param handle names the load
- * @param adapter what was loaded
- * @param running requests that run on it; each is counted until {@link Placement#requestFinished}
+ * @param handle identifies the load
+ * @param adapter the adapter version
+ * @param running requests that run on it; each counts until {@link Placement#requestFinished}
  */
 public record Resident(LoadHandle handle, AdapterVersion adapter, List<RequestId> running) {
 
-  /** Checks the parts and copies the list. */
+  /** Validates the components and copies the list. */
   public Resident {
     Objects.requireNonNull(handle, "handle");
     Objects.requireNonNull(adapter, "adapter");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Router.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Router.java
@@ -13,32 +13,31 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Ranks the endpoints of a base model for an adapter, the same way at every entry without a
- * message.
+ * Ranks the endpoints of a base model for an adapter, identically at every entry without messages.
  *
  * <pre>{@code
  * List<EndpointId> order = router.rank(adapter, 1, candidates);
  * }</pre>
  *
  * <p>The rank is a weighted rendezvous hash of adapter and endpoint, so a change of an endpoint's
- * owner moves no adapter, and a lost endpoint moves only its own. An endpoint whose owner's last
- * hint says that it is full goes behind those that have room. Immutable and safe for use by several
+ * owner moves no adapter, and a lost endpoint moves only its own adapters. An endpoint that is full
+ * by its owner's last hint ranks behind those with capacity. Immutable and safe for use by several
  * threads.
  */
 public final class Router {
 
   /**
-   * One endpoint that may take the request.
+   * Endpoint that may take the request.
    *
    * @param endpoint the endpoint
-   * @param weight its share of the adapters against others, above 0
+   * @param weight its share of the adapters relative to other endpoints, above 0
    * @param load its owner's last hint, or empty
-   * @param loadAgeMs how old the hint is
+   * @param loadAgeMs age of the hint
    */
   public record Candidate(
       EndpointId endpoint, double weight, Optional<EndpointLoad> load, long loadAgeMs) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Candidate {
       Objects.requireNonNull(endpoint, "endpoint");
       Objects.requireNonNull(load, "load");
@@ -49,34 +48,36 @@
   }
 
   private record Ranked(
-      Candidate candidate, double score, boolean full, boolean holds, boolean fits) {}
+      Candidate candidate, double score, boolean full, boolean holds, boolean inPartition) {}
 
   /**
-   * Endpoints among which a missing adapter goes to the one that loses least by its load: enough
-   * that a slot of little worth is among them, and few enough that an adapter that was evicted
-   * comes back where its demand is known.
+   * Endpoints among which a missing adapter is loaded on the one with the lowest price: enough that
+   * a slot of low demand is among them, and few enough that an evicted adapter returns to where its
+   * demand is recorded.
    */
   public static final int CHOICES = 8;
 
-  /** What the owner's queue adds to a price, for each request: loads there wait for each other. */
-  private static final int PRICE_OF_QUEUED = 50;
+  /**
+   * Addition to the price for each request queued at the owner, where loads wait for each other.
+   */
+  private static final int PRICE_PER_QUEUED_REQUEST = 50;
 
-  /** Hashed with each endpoint to choose those that hot adapters share. */
+  /** Hash input that selects the endpoints that hot adapters share. */
   private static final String DENSE = "dense";
 
   /**
-   * With fewer endpoints none is set apart: one of two or three would stand idle while no adapter
-   * is hot, and callers would wait for the loads that it does not take.
+   * With fewer endpoints none is reserved for hot adapters: one of two or three would be idle while
+   * no adapter is hot, and callers would wait for the loads that it does not take.
    */
-  private static final int MIN_ENDPOINTS_TO_DIVIDE = 4;
+  private static final int MIN_ENDPOINTS_TO_PARTITION = 4;
 
   private final long maxLoadAgeMs;
   private final double denseShare;
 
   /**
-   * Creates a router that gives hot adapters no endpoints of their own.
+   * Creates a router that reserves no endpoints for hot adapters.
    *
-   * @param maxLoadAgeMs a hint older than this is ignored
+   * @param maxLoadAgeMs older hints are ignored
    */
   public Router(long maxLoadAgeMs) {
     this(maxLoadAgeMs, 0);
@@ -85,10 +86,10 @@
   /**
    * Creates a router.
    *
-   * @param maxLoadAgeMs a hint older than this is ignored: affinity then decides alone, since a
-   *     stale "full" would send an adapter's requests to an engine that must load it first
-   * @param denseShare share of a model's endpoints that hot adapters share, from 0 and below 1; at
-   *     least one endpoint unless 0 or the model has fewer than four
+   * @param maxLoadAgeMs older hints are ignored: affinity then decides alone, since a stale "full"
+   *     would send an adapter's requests to an engine that must load it first
+   * @param denseShare share of a model's endpoints that hot adapters share, at least 0 and below 1;
+   *     at least one endpoint unless 0 or the model has fewer than four
    */
   public Router(long maxLoadAgeMs, double denseShare) {
     if (maxLoadAgeMs < 1) {
@@ -109,10 +110,10 @@
   /**
    * Returns the endpoints, best first.
    *
-   * <p>Hot adapters share few endpoints, where their requests meet in full batches; the others go
-   * to the rest, so that their loads don't compete for the same slots.
+   * <p>Hot adapters share few endpoints, where their requests form full batches. Other adapters use
+   * the rest, so that their loads don't compete for the same slots.
    *
-   * @param adapter what the request runs on
+   * @param adapter the adapter version that the request runs on
    * @param copies endpoints among which the adapter's requests are spread, at least 1
    * @param hot whether the adapter is hot
    * @param candidates the endpoints of the adapter's base model
@@ -125,20 +126,20 @@
     Set<EndpointId> dense = dense(candidates);
     List<Ranked> ranked = new ArrayList<>();
     for (Candidate candidate : candidates) {
-      boolean fits = dense.contains(candidate.endpoint()) == hot;
+      boolean inPartition = dense.contains(candidate.endpoint()) == hot;
       boolean holds = holds(adapter, candidate);
       double score = score(adapter.adapter().value(), candidate);
-      ranked.add(new Ranked(candidate, score, full(candidate), holds, fits));
+      ranked.add(new Ranked(candidate, score, isFull(candidate), holds, inPartition));
     }
     ranked.sort(
-        Comparator.comparing((Ranked r) -> !r.fits())
+        Comparator.comparing((Ranked r) -> !r.inPartition())
             .thenComparingDouble(r -> -r.score())
             .thenComparing(r -> r.candidate().endpoint()));
     int spread = Math.min(copies, ranked.size());
-    ranked.subList(0, spread).sort(Comparator.comparingDouble(Router::busy));
+    ranked.subList(0, spread).sort(Comparator.comparingDouble(Router::utilization));
     ranked.sort(
         Comparator.comparing(Ranked::full)
-            .thenComparing(r -> hot && !r.fits())
+            .thenComparing(r -> hot && !r.inPartition())
             .thenComparing(r -> !r.holds()));
     List<Candidate> ordered = ranked.stream().map(Ranked::candidate).toList();
     return (hot ? ordered : byPrice(adapter, ordered, ownPlaces(false, ordered.size())))
@@ -146,9 +147,10 @@
   }
 
   /**
-   * Returns how many of the first places of {@link #rank} are for adapters of this kind.
+   * Returns the number of leading endpoints in the result of {@link #rank} that are meant for
+   * adapters of this kind.
    *
-   * @param hot whether hot adapters are meant, or the others
+   * @param hot true for hot adapters, false for the others
    * @param candidates endpoints of the model
    */
   public int ownPlaces(boolean hot, int candidates) {
@@ -156,17 +158,19 @@
     return hot ? dense : candidates - dense;
   }
 
-  /** Puts the endpoint that loses least first when none is known to hold the adapter. */
-  private List<Candidate> byPrice(AdapterVersion adapter, List<Candidate> ordered, int places) {
-    int count = Math.min(CHOICES, Math.min(places, ordered.size()));
+  /**
+   * Sorts the first endpoints by price if no endpoint with capacity is known to hold the adapter.
+   */
+  private List<Candidate> byPrice(AdapterVersion adapter, List<Candidate> ordered, int limit) {
+    int count = Math.min(CHOICES, Math.min(limit, ordered.size()));
     List<Candidate> choices = ordered.subList(0, count);
     long priced = choices.stream().filter(this::isFresh).count();
-    // With few prices known, every miss would go to the same few endpoints.
-    if (priced * 2 < count || ordered.stream().anyMatch(c -> holds(adapter, c) && !full(c))) {
+    // With few known prices, every miss would be sent to the same few endpoints.
+    if (priced * 2 < count || ordered.stream().anyMatch(c -> holds(adapter, c) && !isFull(c))) {
       return ordered;
     }
     List<Candidate> priceOrder = new ArrayList<>(choices);
-    priceOrder.sort(Comparator.comparing(this::full).thenComparingLong(this::price));
+    priceOrder.sort(Comparator.comparing(this::isFull).thenComparingLong(this::price));
     priceOrder.addAll(ordered.subList(count, ordered.size()));
     return priceOrder;
   }
@@ -179,28 +183,32 @@
     return candidate
         .load()
         .filter(load -> isFresh(candidate))
-        .map(load -> load.price() + (long) PRICE_OF_QUEUED * load.queued())
+        .map(load -> load.price() + (long) PRICE_PER_QUEUED_REQUEST * load.queued())
         .orElse((long) EndpointLoad.NOTHING_TO_EVICT);
   }
 
   /**
-   * Returns endpoints that {@link #rank} has put in order without hints, in the order that hints
-   * make of it: for callers that keep an adapter's order, since it changes only with the endpoints.
+   * Returns endpoints that {@link #rank} ordered without hints, reordered by their hints: for
+   * callers that cache an adapter's order, since it changes only with the endpoints.
    *
-   * @param adapter what the request runs on
-   * @param hot whether the adapter is hot; then it stays with those that hot adapters share
+   * @param adapter the adapter version that the request runs on
+   * @param hot whether the adapter is hot; it then stays on the endpoints that hot adapters share
    * @param ordered the endpoints, best first
    */
   public List<EndpointId> byHints(AdapterVersion adapter, boolean hot, List<Candidate> ordered) {
     List<Candidate> hinted =
         ordered.stream()
-            .sorted(Comparator.comparing(this::full).thenComparing(c -> !hot && !holds(adapter, c)))
+            .sorted(
+                Comparator.comparing(this::isFull).thenComparing(c -> !hot && !holds(adapter, c)))
             .toList();
     return (hot ? hinted : byPrice(adapter, hinted, hinted.size()))
         .stream().map(Candidate::endpoint).toList();
   }
 
-  /** Returns the endpoints that hot adapters share: the same at every entry, by a hash. */
+  /**
+   * Returns the endpoints that hot adapters share, selected by a hash and so the same at every
+   * entry.
+   */
   private Set<EndpointId> dense(List<Candidate> candidates) {
     return candidates.stream()
         .sorted(
@@ -212,7 +220,7 @@
   }
 
   private int denseCount(int candidates) {
-    if (denseShare == 0 || candidates < MIN_ENDPOINTS_TO_DIVIDE) {
+    if (denseShare == 0 || candidates < MIN_ENDPOINTS_TO_PARTITION) {
       return 0;
     }
     return Math.min(candidates - 1, Math.max(1, (int) Math.round(candidates * denseShare)));
@@ -221,24 +229,27 @@
   /**
    * Returns how many endpoints an adapter needs.
    *
-   * @param streams its requests under way in the region
+   * @param streams its requests in flight in the region
    * @param maxStreams streams of one endpoint
    */
   public static int copies(double streams, int maxStreams) {
     return Math.max(1, (int) Math.ceil(streams / maxStreams));
   }
 
-  private boolean full(Candidate candidate) {
+  private boolean isFull(Candidate candidate) {
     return candidate.loadAgeMs() <= maxLoadAgeMs
         && candidate.load().filter(l -> l.streams() + l.queued() >= l.maxStreams()).isPresent();
   }
 
-  /** Tells whether the endpoint held the adapter; its owner finds out exactly. */
+  /**
+   * Returns whether the endpoint held the adapter at its last hint; only its owner has the exact
+   * state.
+   */
   private static boolean holds(AdapterVersion adapter, Candidate candidate) {
     return candidate.load().filter(load -> load.adapters().contains(adapter)).isPresent();
   }
 
-  private static double busy(Ranked ranked) {
+  private static double utilization(Ranked ranked) {
     return ranked
         .candidate()
         .load()
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Urgency.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Urgency.java
@@ -1,11 +1,11 @@
 package io.sequoiapass.daemon.process.placement;
 
-/** How soon a request's caller needs its answer. */
+/** How soon the answer to a request is needed. */
 public enum Urgency {
-  /** Someone works against a deadline: never waits behind the others. */
+  /** Someone works to a deadline: never waits behind the others. */
   DEADLINE,
   /** A person waits for the answer. */
   INTERACTIVE,
-  /** Nobody waits; takes what the others leave. */
+  /** Nobody waits for the answer; uses the capacity that the others leave. */
   BATCH
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/WaitingGroup.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/WaitingGroup.java
@@ -41,7 +41,7 @@
     return requests.get(0).request().urgency();
   }
 
-  /** Returns where the router sent the most urgent request. */
+  /** Returns the endpoint that the router chose for the most urgent request. */
   EndpointId preferred() {
     return requests.get(0).request().preferred();
   }
@@ -54,7 +54,10 @@
     return requests.stream().mapToLong(q -> q.request().deadlineMs()).max().orElseThrow();
   }
 
-  /** Returns what a load is worth now: who waits, how urgently, for how long. */
+  /**
+   * Returns the value of a load: the sum over the waiting requests of their urgency, increased with
+   * their waiting time.
+   */
   double loadValue(long nowMs, long agingMs) {
     double value = 0;
     for (Queued queued : requests) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decides which endpoint runs a request, which adapters the endpoints hold, and when a load goes to
- * the weight store. Plain decision objects: events and the time in, actions out.
+ * Selects the endpoint of each request, the adapters that endpoints hold, and the time of each load
+ * from the weight store. Pure decision logic: it takes events and the time, and returns actions.
  */
 package io.sequoiapass.daemon.process.placement;
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/owner/OwnerShardTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/owner/OwnerShardTest.java
@@ -62,8 +62,8 @@
             MillisClock.monotonic(),
             new LruPlacement(),
             new EngineClient(HttpClient.create(group, 500)),
-            new OpenGate(),
-            new SilentObserver(),
+            new PermissiveGate(),
+            new NoOpObserver(),
             Optional.empty());
   }
 
@@ -104,20 +104,20 @@
   }
 
   /**
-   * An owner has just been given an endpoint and requests for it arrive before the engine has told
-   * what it holds. Each of them was refused with NO_ENDPOINT, so that every change of owner under
-   * load failed the requests of the first round trip. They are held until the engine has answered.
+   * Guards against a change of owner under load that fails the requests of the first round trip.
+   * Requests that arrive before the engine has reported what it holds must be held until it
+   * answers, not refused with NO_ENDPOINT.
    */
   @Nested
-  class JustTakenOver {
+  class AfterTakeover {
 
     @Test
-    void aRequestIsHeldAndThenPlaced() throws InterruptedException {
+    void requestIsHeldUntilEngineReportsItsState() throws InterruptedException {
       own(engine.port());
       submit(LIMIT_MS);
       shard.tick();
       assertThat(engineCalls.poll(LIMIT_MS, TimeUnit.MILLISECONDS))
-          .as("the fence is raised before the engine's state is read")
+          .as("the fencing number is raised before the engine's state is read")
           .isEqualTo("/v1/orders");
       assertThat(engineCalls.poll(LIMIT_MS, TimeUnit.MILLISECONDS)).isEqualTo("/v1/state");
       assertThat(replies.messages).isEmpty();
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void aHeldRequestIsRefusedAtOnceWhenTheEngineCannotBeReached() throws InterruptedException {
+    void heldRequestIsRefusedWhenEngineIsUnreachable() throws InterruptedException {
       int port = engine.port();
       engine.close();
       own(port);
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aHeldRequestIsRefusedAtItsDeadline() throws InterruptedException {
+    void heldRequestIsRefusedAtDeadline() throws InterruptedException {
       own(engine.port());
       submit(0);
       shard.tick();
@@ -166,7 +166,7 @@
     public void close() {}
   }
 
-  private static final class OpenGate implements OrderGate {
+  private static final class PermissiveGate implements OrderGate {
     @Override
     public Optional<FencingNumber> permit(EndpointId endpoint, OrderKind kind) {
       return Optional.of(new FencingNumber(1));
@@ -178,7 +178,7 @@
     }
   }
 
-  private static final class SilentObserver implements OwnerObserver {
+  private static final class NoOpObserver implements OwnerObserver {
     @Override
     public void started(
         PeerMessage.AttemptId id, AdapterVersion adapter, EndpointId endpoint, long waitedMs) {}
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/placement/AdaptivePlacementFuzzTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/placement/AdaptivePlacementFuzzTest.java
@@ -23,10 +23,9 @@
 import net.jqwik.api.state.Transformer;
 
 /**
- * Plays events in any order against an oracle that holds the engines' slots. A caller would see a
- * broken answer if the placement evicted an adapter that serves, started a request twice, or
- * started it on a load that is gone or of another version; the oracle refuses each of these at
- * once.
+ * Applies random sequences of events and checks each action against an oracle that models the
+ * engines' slots. Guards against broken answers: the placement evicts an adapter in use, starts a
+ * request twice, or starts it on a load that does not exist or is of another version.
  */
 class AdaptivePlacementFuzzTest {
 
@@ -36,7 +35,7 @@
   private static final int ENDPOINTS = 3;
 
   @Property(tries = 1_000, seed = "4711")
-  void neverBreaksARuleOfTheEngines(@ForAll("chains") ActionChain<Oracle> chain) {
+  void respectsEngineConstraints(@ForAll("chains") ActionChain<Oracle> chain) {
     chain.run();
   }
 
@@ -53,19 +52,19 @@
         .withAction(1, event("drain", Oracle::drain))
         .withAction(1, event("withdraw", Oracle::withdraw))
         .withAction(1, event("others load", Oracle::othersLoad))
-        .withAction(3, event("time", Oracle::time))
+        .withAction(3, event("time", Oracle::advanceTime))
         .withMaxTransformations(120);
   }
 
   private interface Event {
-    void play(Oracle oracle, int number);
+    void apply(Oracle oracle, int number);
   }
 
   private static Action.Independent<Oracle> event(String name, Event event) {
     return () ->
         Arbitraries.integers()
             .between(0, 999)
-            .map(number -> Transformer.mutate(name + " " + number, o -> event.play(o, number)));
+            .map(number -> Transformer.mutate(name + " " + number, o -> event.apply(o, number)));
   }
 
   /** One slot of an engine. */
@@ -79,7 +78,7 @@
     }
   }
 
-  /** The engines as they are, and what became of each request. */
+  /** Model of the engines, and the state of each request. */
   static final class Oracle {
     private final AdaptivePlacement placement =
         new AdaptivePlacement(PlacementSettings.defaults(), PlacementWeights.BATCHES);
@@ -141,7 +140,7 @@
       join(endpoint(number), new ArrayList<>());
     }
 
-    /** The endpoint joins again with what it holds; a load that was under way is lost. */
+    /** Joins the endpoint again with what it holds; a load in progress is lost. */
     void takeOver(int number) {
       List<Slot> kept = new ArrayList<>(engines.getOrDefault(endpoint(number), List.of()));
       kept.removeIf(slot -> slot.handle == null);
@@ -183,7 +182,7 @@
       placement.otherLoads(nowMs, number % 4);
     }
 
-    void time(int number) {
+    void advanceTime(int number) {
       nowMs += number * 2L;
       apply(placement.tick(nowMs));
     }
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/placement/AdaptivePlacementTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/placement/AdaptivePlacementTest.java
@@ -27,7 +27,7 @@
       new AdaptivePlacement(PlacementSettings.defaults(), PlacementWeights.STALLS);
 
   @Test
-  void aMissLoadsOnceAndThenStartsAllThatWait() {
+  void missLoadsAdapterOnceAndStartsAllWaitingRequests() {
     placement.endpointJoined(0, status(ONE, 1));
 
     assertThat(arrive(1, "r1", NOTES)).containsExactly(load(ONE, NOTES, null));
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void anotherVersionIsAnotherAdapter() {
+  void versionsAreLoadedAsSeparateAdapters() {
     placement.endpointJoined(0, status(ONE, 2, resident(NOTES, "h1")));
 
     assertThat(arrive(1, "r1", AdapterVersion.parse("notes@v2")))
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void theAdapterInLeastDemandIsEvicted() {
+  void adapterInLeastDemandIsEvicted() {
     placement.endpointJoined(0, status(ONE, 2, resident(NOTES, "h1"), resident(SLIPS, "h2")));
     for (String id : List.of("r1", "r2")) {
       arrive(1, id, SLIPS);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void anAdapterThatIsHotForBatchesIsNotHotOnceStallsWeighMore() {
+  void higherStallWeightRaisesHotDemandThreshold() {
     AdaptivePlacement batches =
         new AdaptivePlacement(PlacementSettings.defaults(), PlacementWeights.BATCHES);
     batches.endpointJoined(0, status(ONE, 2, resident(NOTES, "h1")));
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void nothingIsLoadedAheadWhereThePresetForbidsIt() {
+  void nothingIsPrefetchedWhilePrefetchIsDisabled() {
     placement.endpointJoined(0, status(ONE, 2, resident(NOTES, "h1")));
     arrive(1, "r1", NOTES);
     placement.weigh(PlacementWeights.STALLS, false);
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void theLoadThatDeadlinesWaitForGoesFirst() {
+  void loadForDeadlineRequestStartsFirst() {
     placement.endpointJoined(0, status(ONE, 4));
     arrive(1, "r1", NOTES);
     arrive(2, "r2", SLIPS, Urgency.BATCH);
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void aLoadWaitsItsPatienceWhileOthersLoad() {
+  void loadIsDelayedWhileOtherOwnersLoad() {
     placement.endpointJoined(0, status(ONE, 4));
     placement.otherLoads(0, 1);
 
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void anOldReportOfOthersLoadsIsNotBelieved() {
+  void staleReportOfOtherLoadsIsIgnored() {
     placement.endpointJoined(0, status(ONE, 4));
     placement.otherLoads(0, 9);
 
@@ -114,21 +114,21 @@
   }
 
   @Test
-  void aLoadThatWouldEndPastTheDeadlineEvictsNothing() {
+  void loadThatWouldEndAfterDeadlineIsNotStarted() {
     placement.endpointJoined(0, status(ONE, 1, resident(SLIPS, "h1")));
 
     assertThat(arrive(DEADLINE_MS - 249, "r1", NOTES)).isEmpty();
   }
 
   @Test
-  void aLoadThatEndsRightAtTheDeadlineIsBegun() {
+  void loadThatWouldEndAtDeadlineIsStarted() {
     placement.endpointJoined(0, status(ONE, 1, resident(SLIPS, "h1")));
 
     assertThat(arrive(DEADLINE_MS - 250, "r1", NOTES)).containsExactly(load(ONE, NOTES, "h1"));
   }
 
   @Test
-  void aFreeSlotIsFilledWithWhatWasWantedMostAfterARestart() {
+  void freeSlotsArePrefetchedInOrderOfDemandAfterRestart() {
     placement.endpointJoined(0, status(ONE, 2, resident(NOTES, "h1"), resident(SLIPS, "h2")));
     arrive(1, "r1", SLIPS);
     arrive(1, "r2", SLIPS);
@@ -140,14 +140,14 @@
   }
 
   @Test
-  void aRequestWithNoEndpointIsRefused() {
+  void requestWithoutEndpointIsRefused() {
     assertThat(arrive(1, "r1", NOTES))
         .containsExactly(
             new PlacementAction.Refuse(new RequestId("r1"), RefusalReason.NO_ENDPOINT, 1_000));
   }
 
   @Test
-  void aRequestPastItsDeadlineIsRefusedAtOnce() {
+  void requestPastItsDeadlineIsRefused() {
     placement.endpointJoined(0, status(ONE, 1));
     arrive(1, "r1", NOTES);
 
@@ -157,7 +157,7 @@
   }
 
   @Test
-  void theSameRequestTwiceIsAnError() {
+  void duplicateRequestIsRejected() {
     placement.endpointJoined(0, status(ONE, 1));
     arrive(1, "r1", NOTES);
 
@@ -165,15 +165,15 @@
   }
 
   /**
-   * A caller sees its answer cut off if the adapter that serves it is evicted. All slots are taken
-   * by adapters that serve, more are wanted, and the owner counts exactly who runs where, streams
-   * included that it learnt of when it took the endpoint over; so it waits for one to end.
+   * Guards against a truncated answer because the adapter that serves it is evicted. All slots hold
+   * adapters in use and more are requested; the placement must wait for a stream to end, including
+   * streams that a former owner started.
    */
   @Nested
   class AdapterInUse {
 
     @Test
-    void isNotEvictedForAnother() {
+    void isNotEvicted() {
       placement.endpointJoined(0, status(ONE, 1, resident(NOTES, "h1")));
       arrive(1, "r1", NOTES);
 
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void isNotEvictedWhenItsStreamsBeganUnderAnotherOwner() {
+    void isNotEvictedWhileStreamOfFormerOwnerRuns() {
       Resident taken = new Resident(new LoadHandle("h1"), NOTES, List.of(new RequestId("old")));
       placement.endpointJoined(0, status(ONE, 1, taken));
 
@@ -194,15 +194,15 @@
   }
 
   /**
-   * A caller waits past its deadline if one broken load holds up all others. A load fails, or never
-   * answers; the owner pauses this adapter alone, gives its turn to the next after the bound, and
-   * after repeated failures tells the callers instead of letting them wait.
+   * Guards against callers that wait past their deadline because one failed load blocks all others.
+   * A load fails or never ends: only its adapter is delayed, its permit is released after the
+   * timeout, and after repeated failures the waiting requests are refused.
    */
   @Nested
-  class BrokenLoad {
+  class FailedLoad {
 
     @Test
-    void pausesOnlyItsOwnAdapter() {
+    void delaysOnlyItsAdapter() {
       placement.endpointJoined(0, status(ONE, 4));
       arrive(1, "r1", NOTES);
       arrive(2, "r2", SLIPS);
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void thatHangsGivesUpItsTurn() {
+    void releasesPermitAfterTimeout() {
       placement.endpointJoined(0, status(ONE, 4));
       placement.endpointJoined(0, status(TWO, 4));
       arrive(1, "r1", NOTES);
@@ -227,7 +227,7 @@
     }
 
     @Test
-    void isReportedToTheCallersAfterTheLastTry() {
+    void refusesWaitingRequestsAfterMaxFailures() {
       placement.endpointJoined(0, status(ONE, 4));
       arrive(1, "r1", NOTES);
       List<PlacementAction> actions = new ArrayList<>();
@@ -243,71 +243,75 @@
   }
 
   /**
-   * An owner takes an endpoint over while a load of the one before is under way there, or the
-   * answer to its own load is lost. The engine has a slot less than the owner believes, and refuses
-   * every load into it; callers wait for adapters that never come, until the engine restarts.
+   * Guards against an engine with fewer free slots than the owner has recorded. A former owner's
+   * load is in progress at the takeover, or the answer to the owner's own load is lost; the engine
+   * then refuses every load into the slot, and callers wait for adapters until it restarts.
    */
   @Nested
-  class SlotsThatOthersFilled {
+  class UnrecordedSlotUse {
 
     @Test
-    void aLoadOfTheFormerOwnerTakesASlotAndServesOnceItIsReady() {
-      placement.endpointJoined(0, seen(ONE, 1, List.of(SLIPS)));
+    void loadOfFormerOwnerTakesSlotAndServesOnceReady() {
+      placement.endpointJoined(0, reported(ONE, 1, List.of(SLIPS)));
       assertThat(arrive(1, "r1", NOTES)).isEmpty();
       assertThat(arrive(2, "r2", SLIPS)).isEmpty();
 
-      assertThat(placement.endpointSeen(3, status(ONE, 1, resident(SLIPS, "h1"))))
+      assertThat(placement.endpointReported(3, status(ONE, 1, resident(SLIPS, "h1"))))
           .containsExactly(start("r2", ONE, SLIPS, "h1"));
     }
 
     @Test
-    void aLoadOfTheFormerOwnerThatFailedFreesItsSlot() {
-      placement.endpointJoined(0, seen(ONE, 1, List.of(SLIPS)));
+    void failedLoadOfFormerOwnerFreesSlot() {
+      placement.endpointJoined(0, reported(ONE, 1, List.of(SLIPS)));
       assertThat(arrive(1, "r1", NOTES)).isEmpty();
 
-      assertThat(placement.endpointSeen(2, status(ONE, 1))).containsExactly(load(ONE, NOTES, null));
+      assertThat(placement.endpointReported(2, status(ONE, 1)))
+          .containsExactly(load(ONE, NOTES, null));
     }
 
     @Test
-    void whatALostAnswerLeftThereIsEvictedAndNotLoadedInto() {
+    void adapterLoadedByUnansweredOrderIsEvictedBeforeNextLoad() {
       placement.endpointJoined(0, status(ONE, 1));
       arrive(1, "r1", SLIPS);
       placement.loadFinished(2, failed(ONE, SLIPS));
       placement.requestWithdrawn(3, new RequestId("r1"));
-      placement.endpointSeen(4, status(ONE, 1, resident(SLIPS, "h1")));
+      placement.endpointReported(4, status(ONE, 1, resident(SLIPS, "h1")));
 
       assertThat(arrive(5, "r2", NOTES)).containsExactly(load(ONE, NOTES, "h1"));
     }
 
     @Test
-    void whatRunsThereForAnotherOwnerIsLeftAlone() {
+    void adapterInUseByAnotherOwnerIsNotRecorded() {
       placement.endpointJoined(0, status(ONE, 2));
       Resident serving =
           new Resident(new LoadHandle("h1"), SLIPS, List.of(new RequestId("other~d9.1")));
-      placement.endpointSeen(1, status(ONE, 2, serving));
+      placement.endpointReported(1, status(ONE, 2, serving));
 
       assertThat(placement.loads().get(0).adapters()).doesNotContain(SLIPS);
     }
 
     @Test
-    void whatTheEngineLostIsLoadedAgain() {
+    void adapterLostByEngineIsLoadedAgain() {
       placement.endpointJoined(0, status(ONE, 1, resident(NOTES, "h1")));
-      placement.endpointSeen(1, status(ONE, 1));
+      placement.endpointReported(1, status(ONE, 1));
 
       assertThat(arrive(2, "r1", NOTES)).containsExactly(load(ONE, NOTES, null));
     }
 
-    private EndpointStatus seen(EndpointId id, int slots, List<AdapterVersion> loading) {
+    private EndpointStatus reported(EndpointId id, int slots, List<AdapterVersion> loading) {
       return new EndpointStatus(id, MODEL, slots, 4, List.of(), loading);
     }
   }
 
-  /** A caller must not notice planned work: what runs ends, what is new goes elsewhere. */
+  /**
+   * Guards against requests that fail when an endpoint leaves: running requests end, new ones run
+   * on another endpoint.
+   */
   @Nested
   class LeavingEndpoint {
 
     @Test
-    void getsNoNewWork() {
+    void receivesNoNewRequests() {
       placement.endpointJoined(0, status(ONE, 2, resident(NOTES, "h1")));
       placement.endpointJoined(0, status(TWO, 2));
       placement.endpointDraining(1, ONE);
@@ -316,7 +320,7 @@
     }
 
     @Test
-    void leavesQueuedRequestsQueued() {
+    void keepsRequestsQueued() {
       placement.endpointJoined(0, status(ONE, 2));
       arrive(1, "r1", NOTES);
       assertThat(placement.endpointLeft(2, ONE)).isEmpty();
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/placement/PlacementWeightsTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/placement/PlacementWeightsTest.java
@@ -8,19 +8,19 @@
 class PlacementWeightsTest {
 
   @Test
-  void whoPrefersFullBatchesPutsHotAdaptersOnFewerEndpoints() {
+  void batchPreferenceLowersDenseShare() {
     assertThat(PlacementWeights.BATCHES.denseShare())
         .isLessThan(PlacementWeights.STALLS.denseShare());
   }
 
   @Test
-  void aPresetThatWeighsStallsMoreSpreadsHotAdapters() {
+  void higherStallFactorRaisesDenseShare() {
     assertThat(PlacementWeights.BATCHES.times(4, 1).denseShare())
         .isEqualTo(PlacementWeights.STALLS.denseShare());
   }
 
   @Test
-  void aWeightOfNothingIsRefused() {
+  void zeroWeightIsRejected() {
     assertThatThrownBy(() -> new PlacementWeights(0, 1)).hasMessageContaining("stall");
   }
 }
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/placement/RouterTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/placement/RouterTest.java
@@ -19,7 +19,7 @@
   private final Router router = new Router(MAX_AGE_MS, 0);
 
   @Test
-  void aLostEndpointMovesOnlyItsOwnAdapters() {
+  void lostEndpointMovesOnlyItsAdapters() {
     List<Router.Candidate> all = candidates(8);
     List<Router.Candidate> fewer = all.subList(0, 7);
     for (int i = 0; i < 500; i++) {
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void adaptersSpreadByWeight() {
+  void adaptersAreDistributedByWeight() {
     List<Router.Candidate> weighted =
         List.of(candidate("e0", 1, null, 0), candidate("e1", 3, null, 0));
     Map<EndpointId, Integer> counts = new HashMap<>();
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void aFullEndpointGoesLastUnlessTheHintIsOld() {
+  void fullEndpointRanksLastUnlessHintIsStale() {
     EndpointId first = router.rank(NOTES, 1, false, candidates(3)).get(0);
 
     assertThat(router.rank(NOTES, 1, false, withFull(first, MAX_AGE_MS))).last().isEqualTo(first);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void anEndpointThatHoldsTheAdapterGoesFirst() {
+  void endpointThatHoldsAdapterRanksFirst() {
     EndpointId last = router.rank(NOTES, 1, false, candidates(3)).get(2);
     List<Router.Candidate> candidates = new ArrayList<>(candidates(3));
     candidates.replaceAll(
@@ -66,14 +66,14 @@
   }
 
   @Test
-  void aMissingAdapterGoesWhereItsLoadLosesLeast() {
+  void missingAdapterRanksLowestPriceFirst() {
     List<Router.Candidate> priced = priced(candidates(3), 300, 20, 100);
 
     assertThat(router.rank(NOTES, 1, false, priced)).first().isEqualTo(priced.get(1).endpoint());
   }
 
   @Test
-  void aMissingAdapterStaysWithItsAffinityWhileFewPricesAreKnown() {
+  void missingAdapterKeepsHashOrderWhileFewPricesAreKnown() {
     List<Router.Candidate> all = candidates(3);
     List<Router.Candidate> one = new ArrayList<>(all);
     one.set(2, priced(all, 1, 1, 1).get(2));
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void hotAdaptersShareFewEndpointsThatTheOthersLeave() {
+  void hotAndOtherAdaptersUseSeparateEndpoints() {
     Router dense = new Router(MAX_AGE_MS, 0.25);
     Set<EndpointId> hot = firsts(dense, true);
     Set<EndpointId> others = firsts(dense, false);
