--- a/daemon/src/test/java/io/sequoiapass/daemon/process/placement/AdaptivePlacementTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/placement/AdaptivePlacementTest.java
@@ -304,8 +304,8 @@
   }
 
   /**
-   * Guards against requests that fail when an endpoint leaves: running requests end, new ones run
-   * on another endpoint.
+   * Guards against planned maintenance that callers notice, which must not happen: running requests
+   * end normally on the leaving endpoint, and new ones run on another endpoint.
    */
   @Nested
   class LeavingEndpoint {
