--- a/coordination/src/main/java/io/sequoiapass/coordination/connection/Circuit.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/connection/CircuitBreaker.java
@@ -1,12 +1,12 @@
 package io.sequoiapass.coordination.connection;
 
 /**
- * Stops work to one endpoint after failures in a row, and lets one request through now and then to
- * see whether it is back.
+ * CircuitBreaker breaker of one endpoint: opens after consecutive failures, then admits one probe
+ * request to test recovery.
  *
  * <p>Not safe for use by several threads.
  */
-final class Circuit {
+final class CircuitBreaker {
 
   private final HealthSettings settings;
   private int failuresInRow;
@@ -15,7 +15,7 @@
   private boolean open;
   private boolean probing;
 
-  Circuit(HealthSettings settings) {
+  CircuitBreaker(HealthSettings settings) {
     this.settings = settings;
     this.openMillis = settings.openMillis();
   }
@@ -24,7 +24,7 @@
     return !open || (!probing && nowMillis >= openUntil);
   }
 
-  /** Notes that a request goes out; the first one after an opening is the probe. */
+  /** Records that a request is sent; the first one after the open period is the probe. */
   void sent(long nowMillis) {
     if (open && nowMillis >= openUntil) {
       probing = true;
@@ -38,7 +38,7 @@
     openMillis = settings.openMillis();
   }
 
-  /** Notes that a request ended without telling anything about the endpoint. */
+  /** Records that a request ended without a result that reflects on the endpoint. */
   void withdrawn() {
     probing = false;
   }
@@ -49,8 +49,8 @@
     if (probeFailed) {
       openMillis = Math.min(2 * openMillis, settings.maxOpenMillis());
     }
-    // Requests that were under way when it opened fail after it: they tell nothing new and must
-    // not lengthen the opening.
+    // Requests in flight when the circuit opened may fail afterwards; they carry no new information
+    // and must not extend the open period.
     if (probeFailed || (!open && failuresInRow >= settings.failuresToOpen())) {
       open = true;
       probing = false;
--- a/coordination/src/main/java/io/sequoiapass/coordination/connection/ConcurrencyLimit.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/connection/ConcurrencyLimit.java
@@ -1,8 +1,8 @@
 package io.sequoiapass.coordination.connection;
 
 /**
- * Finds how many calls an endpoint takes at once: one more for each round of answers while it is
- * fully used, a part fewer when it refuses.
+ * Adaptive limit on concurrent calls to an endpoint: additive increase while the limit is fully
+ * used, multiplicative decrease on refusals.
  *
  * <pre>{@code
  * if (running < limit.calls()) {
@@ -10,26 +10,27 @@
  * }
  * }</pre>
  *
- * <p>Additive increase and multiplicative decrease, up to the bound that the configuration gives. A
- * gradient of latency was weighed: calls of one plain service differ in length by more than
- * queueing adds to them, so that a run of long calls would look like an overload. Not safe for use
- * by several threads.
+ * <p>The limit grows by one call per round of answers, up to the configured bound. A latency
+ * gradient is not used: calls of one plain service differ in length by more than queueing adds, so
+ * a run of long calls would be taken for an overload. Not safe for use by several threads.
  */
 public final class ConcurrencyLimit {
 
-  private static final double DECREASE = 0.7;
+  private static final double DECREASE_FACTOR = 0.7;
 
-  /** Refusals that one overload brings come together; each counted would end at a single call. */
-  private static final long PAUSE_MILLIS = 100;
+  /**
+   * One overload produces a burst of refusals; counting each would reduce the limit to one call.
+   */
+  private static final long DECREASE_INTERVAL_MILLIS = 100;
 
   private int bound;
   private double calls;
   private long decreasedAt = Long.MIN_VALUE / 2;
 
   /**
-   * Creates a limit that begins at its bound.
+   * Creates a limit that starts at its bound.
    *
-   * @param bound the most calls at once, at least 1
+   * @param bound the maximum number of concurrent calls, at least 1
    */
   public ConcurrencyLimit(int bound) {
     this.bound = checked(bound);
@@ -37,14 +38,14 @@
   }
 
   /**
-   * Takes another bound from the configuration; what was learnt below it stays.
+   * Changes the configured bound and keeps a limit that has adapted below it.
    *
-   * @param newBound the most calls at once, at least 1
+   * @param newBound the maximum number of concurrent calls, at least 1
    */
   public void bound(int newBound) {
-    boolean unlimited = calls >= bound;
+    boolean atBound = calls >= bound;
     bound = checked(newBound);
-    calls = unlimited ? bound : Math.min(calls, bound);
+    calls = atBound ? bound : Math.min(calls, bound);
   }
 
   private static int checked(int bound) {
@@ -54,15 +55,16 @@
     return bound;
   }
 
-  /** Returns how many calls may run at once, at least 1. */
+  /** Returns the number of calls that may run concurrently, at least 1. */
   public int calls() {
     return Math.max(1, (int) calls);
   }
 
   /**
-   * Notes that the endpoint answered.
+   * Records an answer of the endpoint.
    *
-   * @param running calls that ran, this one included; growth without use would mean nothing
+   * @param running calls that were running, including this one; the limit grows only when fully
+   *     used, since an unused limit is not tested by an answer
    */
   public void answered(int running) {
     if (running >= calls()) {
@@ -71,14 +73,14 @@
   }
 
   /**
-   * Notes that the endpoint refused a call for lack of room.
+   * Records that the endpoint refused a call because it was at capacity.
    *
    * @param nowMillis the time
    */
   public void refused(long nowMillis) {
-    if (nowMillis - decreasedAt >= PAUSE_MILLIS) {
+    if (nowMillis - decreasedAt >= DECREASE_INTERVAL_MILLIS) {
       decreasedAt = nowMillis;
-      calls = Math.max(1, calls * DECREASE);
+      calls = Math.max(1, calls * DECREASE_FACTOR);
     }
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/connection/EndpointHealth.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/connection/EndpointHealth.java
@@ -11,7 +11,8 @@
 import java.util.Set;
 
 /**
- * Decides which endpoints get work, by a circuit for each and by comparing them with one another.
+ * Selects the endpoints that may receive requests, with a circuit breaker per endpoint and outlier
+ * ejection across endpoints.
  *
  * <pre>{@code
  * if (health.admits(endpoint, now)) {
@@ -20,19 +21,19 @@
  * }
  * }</pre>
  *
- * <p>A refusal for lack of room is no failure; only lost connections, cut streams and wrong answers
- * are. Driven under the lock of one shard; not safe for use by several threads.
+ * <p>A refusal for lack of capacity is not a failure; lost connections, truncated streams and wrong
+ * answers are. Guarded by the lock of one shard; not safe for use by several threads.
  */
 public final class EndpointHealth {
 
   private static final class Endpoint {
-    private final Circuit circuit;
+    private final CircuitBreaker circuit;
     private long windowStart;
     private int succeeded;
     private int failed;
 
     private Endpoint(HealthSettings settings) {
-      circuit = new Circuit(settings);
+      circuit = new CircuitBreaker(settings);
     }
 
     private int samples() {
@@ -48,66 +49,69 @@
   private final Map<EndpointId, Endpoint> endpoints = new HashMap<>();
   private Set<EndpointId> ejected = Set.of();
 
-  /** Creates the health of no endpoints yet. */
+  /** Creates a health tracker without endpoints. */
   public EndpointHealth(HealthSettings settings) {
     this.settings = Objects.requireNonNull(settings, "settings");
   }
 
-  /** Returns whether the endpoint may get a request now. */
+  /** Returns whether the endpoint may receive a request. */
   public boolean admits(EndpointId endpoint, long nowMillis) {
-    Endpoint known = endpoints.get(endpoint);
-    return known == null || (known.circuit.admits(nowMillis) && !ejected.contains(endpoint));
+    Endpoint state = endpoints.get(endpoint);
+    return state == null || (state.circuit.admits(nowMillis) && !ejected.contains(endpoint));
   }
 
-  /** Notes that a request goes to the endpoint. */
+  /** Records that a request is sent to the endpoint. */
   public void sent(EndpointId endpoint, long nowMillis) {
-    of(endpoint, nowMillis).circuit.sent(nowMillis);
+    endpointState(endpoint, nowMillis).circuit.sent(nowMillis);
   }
 
-  /** Notes that a request ended without blame for the endpoint: cancelled, withdrawn, busy. */
+  /**
+   * Records a request that ended without fault of the endpoint: cancelled, withdrawn or refused as
+   * busy.
+   */
   public void withdrawn(EndpointId endpoint, long nowMillis) {
-    of(endpoint, nowMillis).circuit.withdrawn();
+    endpointState(endpoint, nowMillis).circuit.withdrawn();
   }
 
-  /** Notes a whole answer. */
+  /** Records a complete answer. */
   public void succeeded(EndpointId endpoint, long nowMillis) {
-    Endpoint known = of(endpoint, nowMillis);
-    known.circuit.succeeded();
-    known.succeeded++;
-    compare(nowMillis);
+    Endpoint state = endpointState(endpoint, nowMillis);
+    state.circuit.succeeded();
+    state.succeeded++;
+    updateOutliers(nowMillis);
   }
 
-  /** Notes a lost connection, a cut stream or a wrong answer. */
+  /** Records a lost connection, a truncated stream or a wrong answer. */
   public void failed(EndpointId endpoint, long nowMillis) {
-    Endpoint known = of(endpoint, nowMillis);
-    known.circuit.failed(nowMillis);
-    known.failed++;
-    compare(nowMillis);
+    Endpoint state = endpointState(endpoint, nowMillis);
+    state.circuit.failed(nowMillis);
+    state.failed++;
+    updateOutliers(nowMillis);
   }
 
-  /** Returns the endpoints that may get no request now. */
+  /** Returns the endpoints that may not receive requests. */
   public Set<EndpointId> leftOut(long nowMillis) {
-    Set<EndpointId> out = new HashSet<>();
+    Set<EndpointId> excluded = new HashSet<>();
     for (EndpointId endpoint : endpoints.keySet()) {
       if (!admits(endpoint, nowMillis)) {
-        out.add(endpoint);
+        excluded.add(endpoint);
       }
     }
-    return out;
+    return excluded;
   }
 
-  /** Forgets the endpoints that are not among these. */
+  /** Removes the state of all endpoints except these. */
   public void retain(Set<EndpointId> present) {
     endpoints.keySet().retainAll(present);
   }
 
-  /** Returns the endpoints left out because they fail more than the others. */
+  /** Returns the endpoints ejected because their failure rate exceeds that of the others. */
   public Set<EndpointId> ejected(long nowMillis) {
-    compare(nowMillis);
+    updateOutliers(nowMillis);
     return ejected;
   }
 
-  private Endpoint of(EndpointId id, long nowMillis) {
+  private Endpoint endpointState(EndpointId id, long nowMillis) {
     Endpoint endpoint = endpoints.computeIfAbsent(id, unknown -> new Endpoint(settings));
     startWindow(endpoint, nowMillis);
     return endpoint;
@@ -121,7 +125,7 @@
     }
   }
 
-  private void compare(long nowMillis) {
+  private void updateOutliers(long nowMillis) {
     endpoints.values().forEach(endpoint -> startWindow(endpoint, nowMillis));
     int failed = endpoints.values().stream().mapToInt(endpoint -> endpoint.failed).sum();
     int samples = endpoints.values().stream().mapToInt(Endpoint::samples).sum();
@@ -137,9 +141,9 @@
         Comparator.comparingDouble(
                 (Map.Entry<EndpointId, Endpoint> entry) -> -entry.getValue().failureShare())
             .thenComparing(Map.Entry::getKey));
-    int most = (int) (settings.maxEjectedShare() * endpoints.size());
-    Set<EndpointId> worst = new HashSet<>();
-    outliers.stream().limit(most).forEach(entry -> worst.add(entry.getKey()));
-    ejected = Set.copyOf(worst);
+    int maxEjected = (int) (settings.maxEjectedShare() * endpoints.size());
+    Set<EndpointId> newlyEjected = new HashSet<>();
+    outliers.stream().limit(maxEjected).forEach(entry -> newlyEjected.add(entry.getKey()));
+    ejected = Set.copyOf(newlyEjected);
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/connection/HealthSettings.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/connection/HealthSettings.java
@@ -1,18 +1,21 @@
 package io.sequoiapass.coordination.connection;
 
 /**
- * Holds the limits of {@link EndpointHealth}.
+ * Settings of {@link EndpointHealth}.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param failuresToOpen failures in a row that open a circuit; one may be chance
- * @param openMillis how long the first opening lasts; each further one lasts twice as long
- * @param maxOpenMillis the longest opening: a mended endpoint is back after this time at the latest
- * @param windowMillis over which time outcomes are compared between endpoints
- * @param minSamples outcomes in the window below which an endpoint is not compared
- * @param outlierExcess by how much the failure share may exceed that of all endpoints together
- * @param maxEjectedShare share of endpoints that may be left out as outliers at once: beyond it the
- *     cause is likelier to be common to all, and leaving them out would only overload the rest
+ * @param failuresToOpen consecutive failures that open a circuit; a single failure may be chance
+ * @param openMillis length of the first open period, in milliseconds; each further one is twice as
+ *     long
+ * @param maxOpenMillis upper bound of the open period, in milliseconds; a recovered endpoint is
+ *     used again after this time at the latest
+ * @param windowMillis window over which outcomes are compared between endpoints, in milliseconds
+ * @param minSamples minimum outcomes in the window for an endpoint to be compared
+ * @param outlierExcess by how much an endpoint's failure rate may exceed the rate of all endpoints
+ *     together
+ * @param maxEjectedShare maximum share of endpoints ejected at a time; beyond it a common cause is
+ *     more likely, and ejecting more would overload the rest
  */
 public record HealthSettings(
     int failuresToOpen,
@@ -23,23 +26,24 @@
     double outlierExcess,
     double maxEjectedShare) {
 
-  /** Suits some 30 endpoints an owner. */
+  /** Defaults for about 30 endpoints per owner. */
   public static final HealthSettings DEFAULT =
       new HealthSettings(3, 500, 8_000, 10_000, 10, 0.3, 0.34);
 
-  /** Checks the limits. */
+  /** Validates the settings. */
   public HealthSettings {
     if (failuresToOpen < 1 || openMillis < 1 || maxOpenMillis < openMillis || windowMillis < 1) {
       throw new IllegalArgumentException(
-          "failures %d, open %d to %d ms, window %d ms"
+          "failuresToOpen %d, open period %d to %d ms, window %d ms: out of range"
               .formatted(failuresToOpen, openMillis, maxOpenMillis, windowMillis));
     }
     if (minSamples < 1 || !(outlierExcess > 0 && outlierExcess < 1)) {
       throw new IllegalArgumentException(
-          "samples %d, excess %s".formatted(minSamples, outlierExcess));
+          "minSamples %d or outlierExcess %s out of range".formatted(minSamples, outlierExcess));
     }
     if (!(maxEjectedShare >= 0 && maxEjectedShare < 1)) {
-      throw new IllegalArgumentException("share to eject: " + maxEjectedShare);
+      throw new IllegalArgumentException(
+          "maxEjectedShare must be at least 0 and below 1: " + maxEjectedShare);
     }
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/connection/package-info.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/connection/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What lives as long as a connection to an endpoint: its circuit and how it compares with the
- * others.
+ * State kept for the lifetime of a connection to an endpoint: its circuit breaker and outlier
+ * detection.
  */
 package io.sequoiapass.coordination.connection;
--- a/coordination/src/test/java/io/sequoiapass/coordination/connection/ConcurrencyLimitTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/connection/ConcurrencyLimitTest.java
@@ -9,7 +9,7 @@
   private final ConcurrencyLimit limit = new ConcurrencyLimit(16);
 
   @Test
-  void refusalsOfOneOverloadCountOnce() {
+  void burstOfRefusalsDecreasesLimitOnce() {
     limit.refused(0);
     limit.refused(50);
     assertThat(limit.calls()).isEqualTo(11);
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void staysBetweenOneAndItsBound() {
+  void staysBetweenOneAndBound() {
     for (int i = 0; i < 50; i++) {
       limit.refused(100L * i);
     }
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void anotherBoundKeepsWhatWasLearnt() {
+  void newBoundKeepsAdaptedLimit() {
     limit.refused(0);
     limit.bound(32);
     assertThat(limit.calls()).isEqualTo(11);
--- a/coordination/src/test/java/io/sequoiapass/coordination/connection/EndpointHealthTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/connection/EndpointHealthTest.java
@@ -18,10 +18,10 @@
   }
 
   @Nested
-  class CircuitState {
+  class CircuitBreakerState {
 
     @Test
-    void oneProbeIsLetThroughAndItsFailureDoublesTheWait() {
+    void failedProbeDoublesOpenPeriod() {
       fail(BAD, 3, 0);
       assertThat(health.admits(BAD, 499)).isFalse();
       assertThat(health.admits(BAD, 500)).isTrue();
@@ -33,14 +33,14 @@
     }
 
     @Test
-    void failuresOfRequestsUnderWayDoNotLengthenTheOpening() {
+    void failuresOfInFlightRequestsDoNotExtendOpenPeriod() {
       fail(BAD, 3, 0);
       fail(BAD, 5, 400);
       assertThat(health.admits(BAD, 500)).isTrue();
     }
 
     @Test
-    void aSuccessClosesIt() {
+    void successfulProbeClosesCircuit() {
       fail(BAD, 3, 0);
       health.sent(BAD, 500);
       health.succeeded(BAD, 510);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aCancelledProbeGivesItsTurnBack() {
+    void cancelledProbeAdmitsAnotherProbe() {
       fail(BAD, 3, 0);
       health.sent(BAD, 500);
       health.withdrawn(BAD, 510);
@@ -63,7 +63,7 @@
       for (int round = 0; round < rounds; round++) {
         for (int i = 0; i < endpoints; i++) {
           EndpointId endpoint = new EndpointId("e" + i);
-          // Never two failures in a row, so that no circuit opens.
+          // Never two consecutive failures, so that no circuit opens.
           if (i < failing && round % 3 != 0) {
             health.failed(endpoint, 0);
           } else {
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void anEndpointThatFailsMoreThanTheOthersIsLeftOutUntilTheWindowEnds() {
+    void outlierIsEjectedUntilWindowEnds() {
       outcomes(6, 1, 30);
       assertThat(health.ejected(0)).containsExactly(BAD);
       assertThat(health.admits(BAD, 0)).isFalse();
@@ -82,13 +82,13 @@
     }
 
     @Test
-    void nobodyIsLeftOutForWhatAllSuffer() {
+    void commonFailureEjectsNoEndpoint() {
       outcomes(6, 6, 30);
       assertThat(health.ejected(0)).isEmpty();
     }
 
     @Test
-    void atMostAThirdIsLeftOut() {
+    void ejectsAtMostAThird() {
       outcomes(9, 4, 30);
       assertThat(health.ejected(0)).hasSize(3);
     }
