--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AdmissionQueue.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AdmissionQueue.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 
 /**
- * Decides which requests wait, which goes next and which are refused at once, so that under too
- * much load the work that is done is worth doing.
+ * Admission queue with load shedding: orders waiting requests, selects the next one to serve, and
+ * refuses those that cannot be served in time.
  *
  * <pre>{@code
  * AdmissionQueue queue = new AdmissionQueue(AdmissionSettings.DEFAULT, now);
@@ -20,55 +20,56 @@
  * AdmissionQueue.Turn turn = queue.poll(now);
  * }</pre>
  *
- * <p>A higher priority goes first, but for a small share kept for the lower ones. Within a priority
- * services, and within a service adapters, take turns by the work they stand for; within an adapter
- * the earliest deadline goes first. What cannot meet its deadline is refused on arrival or when its
- * turn comes, never run in vain. Driven under the lock of one shard; not safe for use by several
- * threads.
+ * <p>Higher priorities are served first, except for a small share reserved for lower ones. Within a
+ * priority, services share capacity fairly by cost, and so do adapters within a service; within an
+ * adapter the earliest deadline is served first. A request that cannot meet its deadline is refused
+ * on arrival or when it is selected, so that no capacity is spent on it. Guarded by the lock of one
+ * shard; not safe for use by several threads.
  */
 public final class AdmissionQueue {
 
   /**
-   * Is a request that will not be served.
+   * A request that will not be served.
    *
-   * @param ticket its place
-   * @param outcome what its caller is told
+   * @param ticket its ticket
+   * @param outcome the outcome sent to the caller
    */
   public record Refusal(AdmissionTicket ticket, Outcome.NotRun outcome) {}
 
   /**
-   * Is the result of a turn.
+   * Result of a poll.
    *
-   * @param next the request to serve now, or empty
-   * @param refused requests whose deadline cannot be met any more
+   * @param next the request to serve, or empty
+   * @param refused requests that can no longer meet their deadline
    */
   public record Turn(Optional<AdmissionTicket> next, List<Refusal> refused) {}
 
   /**
-   * An overload fills the queue up to the wait that is just allowed. If that were all of the spare
-   * time, each wait that turns out longer than expected would end in a refusal at the last moment.
+   * An overload fills the queue up to the longest admitted wait. Admitting a wait equal to all of
+   * the spare time would refuse each request whose wait exceeds the estimate just before its
+   * deadline.
    */
   private static final double WAIT_MARGIN = 1.25;
 
-  private static final class Level {
-    private final Map<ServiceId, ServiceLine> lines = new TreeMap<>();
-    private final FairShares<ServiceId> shares = new FairShares<>();
+  private static final class PriorityLevel {
+    private final Map<ServiceId, ServiceQueue> queues = new TreeMap<>();
+    private final FairScheduler<ServiceId> shares = new FairScheduler<>();
     private final DrainRate rate;
     private int size;
 
-    private Level(DrainRate rate) {
+    private PriorityLevel(DrainRate rate) {
       this.rate = rate;
     }
   }
 
-  private final Map<Priority, Level> levels = new EnumMap<>(Priority.class);
+  private final Map<Priority, PriorityLevel> levels = new EnumMap<>(Priority.class);
   private final DrainRate rate;
-  private final ServiceTime times = new ServiceTime();
+  private final ServiceTimeEstimator serviceTimes = new ServiceTimeEstimator();
   private AdmissionSettings settings;
   private int size;
-  private long turns;
+  private long servedCount;
   private double nextComeBackAt;
-  private AdmissionTicket newest;
+  private AdmissionTicket newestTicket;
   private long newestAt;
 
   /** Creates an empty queue. */
@@ -76,25 +77,26 @@
     this.settings = Objects.requireNonNull(settings, "settings");
     this.rate = new DrainRate(settings.initialPerSecond(), nowMillis);
     for (Priority priority : Priority.values()) {
-      levels.put(priority, new Level(new DrainRate(settings.initialPerSecond(), nowMillis)));
+      levels.put(
+          priority, new PriorityLevel(new DrainRate(settings.initialPerSecond(), nowMillis)));
     }
   }
 
-  /** Applies other limits from now on, as a change of preset does; nothing that waits is lost. */
+  /** Replaces the limits, for example on a change of preset; waiting requests stay queued. */
   public void apply(AdmissionSettings newSettings) {
     settings = Objects.requireNonNull(newSettings, "settings");
   }
 
   /**
-   * Takes a request in, or refuses it.
+   * Admits or refuses a request.
    *
-   * @return the refused: none, the newcomer, or one that waited and had less claim to its place
+   * @return the refusal, if any: of the new request or of a waiting one that it displaces
    */
   public Optional<Refusal> offer(AdmissionTicket ticket, long nowMillis) {
     if (size == 0) {
       rate.idle(nowMillis);
     }
-    Level level = levels.get(ticket.priority());
+    PriorityLevel level = levels.get(ticket.priority());
     if (level.size == 0) {
       level.rate.idle(nowMillis);
     }
@@ -104,22 +106,22 @@
       return Optional.of(
           refuse(ticket, ErrorKind.DEADLINE_UNREACHABLE, Math.max(0, wait - spare), nowMillis));
     }
-    Optional<AdmissionTicket> out = makesWay(ticket);
-    if (out.equals(Optional.of(ticket))) {
+    Optional<AdmissionTicket> shed = selectShed(ticket);
+    if (shed.equals(Optional.of(ticket))) {
       return Optional.of(refuse(ticket, ErrorKind.QUEUE_FULL, wait, nowMillis));
     }
-    out.ifPresent(this::withdraw);
+    shed.ifPresent(this::withdraw);
     add(ticket, nowMillis);
-    return out.map(other -> refuse(other, ErrorKind.OVERLOADED, wait, nowMillis));
+    return shed.map(other -> refuse(other, ErrorKind.OVERLOADED, wait, nowMillis));
   }
 
-  /** Takes the request whose turn it is, for an endpoint that has room. */
+  /** Removes and returns the next request to serve, for an endpoint with free capacity. */
   public Turn poll(long nowMillis) {
     List<Refusal> refused = new ArrayList<>();
     Optional<AdmissionTicket> head = head();
     while (head.isPresent() && isTooLate(head.get(), nowMillis)) {
       withdraw(head.get());
-      refused.add(late(head.get(), nowMillis));
+      refused.add(refuseLate(head.get(), nowMillis));
       head = head();
     }
     head.ifPresent(ticket -> serve(ticket, nowMillis));
@@ -127,95 +129,98 @@
   }
 
   /**
-   * Notes that a request was served whole; how long others will take is told from it.
+   * Records a request that was served completely, for the estimate of service times.
    *
    * @param cost the cost of its ticket
-   * @param tookMillis how long serving it took, without its wait here
+   * @param tookMillis service time in milliseconds, without the wait in this queue
    */
   public void finished(double cost, long tookMillis) {
-    times.served(cost, tookMillis);
+    serviceTimes.served(cost, tookMillis);
   }
 
   /**
-   * Notes that a request was given up while it was served. How long it would have taken is unknown,
-   * but longer than this: learning only from those that ended in time would never show that serving
-   * has become slower, and all would be begun too late from then on.
+   * Records a request that was abandoned while it was served. Its full service time is unknown but
+   * longer than this. An estimate from requests that ended in time alone would never show that
+   * serving has slowed down, and every later request would be started too late.
    *
    * @param cost the cost of its ticket
-   * @param ranMillis how long it had been served
+   * @param ranMillis how long it had been served, in milliseconds
    */
   public void abandoned(double cost, long ranMillis) {
-    if (ranMillis > times.expectedMillis(cost)) {
-      times.served(cost, ranMillis);
+    if (ranMillis > serviceTimes.expectedMillis(cost)) {
+      serviceTimes.served(cost, ranMillis);
     }
   }
 
-  /** Removes and returns what cannot meet its deadline any more; to be called now and then. */
+  /** Removes and returns requests that can no longer meet their deadline; called periodically. */
   public List<Refusal> expire(long nowMillis) {
     List<Refusal> refused = new ArrayList<>();
-    for (Level level : levels.values()) {
-      for (ServiceLine line : List.copyOf(level.lines.values())) {
-        for (AdmissionTicket ticket : line.matching(ticket -> isTooLate(ticket, nowMillis))) {
+    for (PriorityLevel level : levels.values()) {
+      for (ServiceQueue queue : List.copyOf(level.queues.values())) {
+        for (AdmissionTicket ticket : queue.matching(ticket -> isTooLate(ticket, nowMillis))) {
           withdraw(ticket);
-          refused.add(late(ticket, nowMillis));
+          refused.add(refuseLate(ticket, nowMillis));
         }
       }
     }
     return refused;
   }
 
-  /** Removes a request whose caller left; returns false if it does not wait here any more. */
+  /** Removes a request whose caller left; returns false if it is not queued. */
   public boolean withdraw(AdmissionTicket ticket) {
-    Level level = levels.get(ticket.priority());
-    ServiceLine line = level.lines.get(ticket.service());
-    if (line == null || !line.remove(ticket)) {
+    PriorityLevel level = levels.get(ticket.priority());
+    ServiceQueue queue = level.queues.get(ticket.service());
+    if (queue == null || !queue.remove(ticket)) {
       return false;
     }
     size--;
     level.size--;
-    if (line.size() == 0) {
+    if (queue.size() == 0) {
       level.shares.deactivate(ticket.service());
-      level.lines.remove(ticket.service());
+      level.queues.remove(ticket.service());
     }
     return true;
   }
 
-  /** Returns the number of requests that wait. */
+  /** Returns the number of waiting requests. */
   public int size() {
     return size;
   }
 
   /**
-   * Returns how long a request would wait, from what is before it and from how fast that goes.
+   * Returns the estimated wait of a request in milliseconds, from the requests ahead of it and the
+   * drain rate.
    *
-   * <p>What outranks it and is yet to come shows only in the pace of its own priority: without that
-   * a batch request under an overload would be taken in, wait, and be refused at its last moment.
+   * <p>Higher-priority requests that have not arrived yet are reflected only in the drain rate of
+   * the request's own priority. Without that rate a batch request would be admitted under an
+   * overload, wait, and be refused just before its deadline.
    */
   public long expectedWaitMillis(AdmissionTicket ticket, long nowMillis) {
-    Level level = levels.get(ticket.priority());
+    PriorityLevel level = levels.get(ticket.priority());
     int outranking = 0;
-    for (Map.Entry<Priority, Level> other : levels.entrySet()) {
+    for (Map.Entry<Priority, PriorityLevel> other : levels.entrySet()) {
       outranking += other.getKey().outranks(ticket.priority()) ? other.getValue().size : 0;
     }
-    ServiceLine own = level.lines.get(ticket.service());
-    int services = level.shares.active() + (own == null ? 1 : 0);
-    int ownSize = own == null ? 0 : own.size();
-    // Services take turns: a short line is served before the rest of a long one.
-    int before = Math.min(level.size, ownSize * services + services - 1);
-    double pace = rate.perSecond(nowMillis);
-    // The turns kept for it are the least that a priority gets, also after a time without any.
-    double ownPace =
-        Math.max(level.rate.perSecond(nowMillis), pace / settings.lowerPriorityEvery());
-    double ofAll = (outranking + before) / pace;
-    double ofLevel = before / ownPace;
-    return (long) (1_000 * Math.max(ofAll, ofLevel));
+    ServiceQueue ownQueue = level.queues.get(ticket.service());
+    int services = level.shares.active() + (ownQueue == null ? 1 : 0);
+    int ownSize = ownQueue == null ? 0 : ownQueue.size();
+    // Services are served in turn: a short queue drains before the rest of a long one.
+    int ahead = Math.min(level.size, ownSize * services + services - 1);
+    double drainRate = rate.perSecond(nowMillis);
+    // The reserved share is the minimum rate of a priority, also after a period in which it was not
+    // served.
+    double ownRate =
+        Math.max(level.rate.perSecond(nowMillis), drainRate / settings.lowerPriorityEvery());
+    double waitBehindAll = (outranking + ahead) / drainRate;
+    double waitBehindLevel = ahead / ownRate;
+    return (long) (1_000 * Math.max(waitBehindAll, waitBehindLevel));
   }
 
   private void add(AdmissionTicket ticket, long nowMillis) {
-    Level level = levels.get(ticket.priority());
-    newest = ticket;
+    PriorityLevel level = levels.get(ticket.priority());
+    newestTicket = ticket;
     newestAt = nowMillis;
-    if (level.lines.computeIfAbsent(ticket.service(), s -> new ServiceLine()).add(ticket)) {
+    if (level.queues.computeIfAbsent(ticket.service(), s -> new ServiceQueue()).add(ticket)) {
       level.shares.activate(ticket.service());
       level.size++;
       size++;
@@ -223,50 +228,51 @@
   }
 
   private void serve(AdmissionTicket ticket, long nowMillis) {
-    Level level = levels.get(ticket.priority());
-    level.lines.get(ticket.service()).charge(ticket);
+    PriorityLevel level = levels.get(ticket.priority());
+    level.queues.get(ticket.service()).charge(ticket);
     level.shares.charge(ticket.service(), ticket.cost());
-    boolean waited = size > 1 || !ticket.equals(newest) || nowMillis > newestAt;
+    boolean waited = size > 1 || !ticket.equals(newestTicket) || nowMillis > newestAt;
     withdraw(ticket);
     if (waited) {
-      // What found room at once tells how fast work comes, not how fast it could go: counted, a
-      // quiet hour would make the rate of the first minute of an overload too high by far.
+      // A request served without waiting reflects the arrival rate, not the capacity. Counting it
+      // after an idle period would make the rate far too high in the first minute of an overload.
       rate.served(nowMillis);
       level.rate.served(nowMillis);
     }
-    turns++;
+    servedCount++;
   }
 
   private Optional<AdmissionTicket> head() {
     List<Priority> order = new ArrayList<>(levels.keySet());
-    if (turns % settings.lowerPriorityEvery() == settings.lowerPriorityEvery() - 1) {
+    if (servedCount % settings.lowerPriorityEvery() == settings.lowerPriorityEvery() - 1) {
       order.sort(Comparator.comparingInt(Priority::rank).reversed());
     }
     return order.stream()
         .map(levels::get)
         .filter(level -> level.size > 0)
         .findFirst()
-        .flatMap(level -> level.shares.next().map(level.lines::get))
-        .flatMap(ServiceLine::head);
+        .flatMap(level -> level.shares.next().map(level.queues::get))
+        .flatMap(ServiceQueue::head);
   }
 
-  /** Returns who has to go for the newcomer: nobody, one that waits, or the newcomer. */
-  private Optional<AdmissionTicket> makesWay(AdmissionTicket ticket) {
-    ServiceLine own = levels.get(ticket.priority()).lines.get(ticket.service());
-    if (own != null && own.size() >= settings.maxQueuedPerService()) {
-      return own.last()
-          .filter(last -> own.flowSize(last.flow()) > own.flowSize(ticket.flow()) + 1)
+  /** Returns the request to shed for the new one: none, a waiting one, or the new one. */
+  private Optional<AdmissionTicket> selectShed(AdmissionTicket ticket) {
+    ServiceQueue ownQueue = levels.get(ticket.priority()).queues.get(ticket.service());
+    if (ownQueue != null && ownQueue.size() >= settings.maxQueuedPerService()) {
+      return ownQueue
+          .shedCandidate()
+          .filter(last -> ownQueue.flowSize(last.flow()) > ownQueue.flowSize(ticket.flow()) + 1)
           .or(() -> Optional.of(ticket));
     }
     if (size < settings.maxQueued()) {
       return Optional.empty();
     }
-    int ownSize = own == null ? 0 : own.size();
+    int ownSize = ownQueue == null ? 0 : ownQueue.size();
     Priority lowest = lowestWaiting();
-    ServiceLine longest = longest(levels.get(lowest));
+    ServiceQueue longest = longestQueue(levels.get(lowest));
     boolean outranked = ticket.priority().outranks(lowest);
-    boolean overItsShare = lowest == ticket.priority() && longest.size() > ownSize + 1;
-    return outranked || overItsShare ? longest.last() : Optional.of(ticket);
+    boolean exceedsShare = lowest == ticket.priority() && longest.size() > ownSize + 1;
+    return outranked || exceedsShare ? longest.shedCandidate() : Optional.of(ticket);
   }
 
   private Priority lowestWaiting() {
@@ -277,9 +283,9 @@
         .orElseThrow();
   }
 
-  private static ServiceLine longest(Level level) {
-    return level.lines.values().stream()
-        .max(Comparator.comparingInt(ServiceLine::size))
+  private static ServiceQueue longestQueue(PriorityLevel level) {
+    return level.queues.values().stream()
+        .max(Comparator.comparingInt(ServiceQueue::size))
         .orElseThrow();
   }
 
@@ -288,11 +294,12 @@
   }
 
   private long latestStart(AdmissionTicket ticket) {
-    long service = Math.max(settings.minServiceMillis(), times.expectedMillis(ticket.cost()));
+    long service =
+        Math.max(settings.minServiceMillis(), serviceTimes.expectedMillis(ticket.cost()));
     return ticket.deadlineMillis() - service;
   }
 
-  private Refusal late(AdmissionTicket ticket, long nowMillis) {
+  private Refusal refuseLate(AdmissionTicket ticket, long nowMillis) {
     ErrorKind kind =
         nowMillis >= ticket.deadlineMillis()
             ? ErrorKind.DEADLINE_PASSED
@@ -302,14 +309,15 @@
 
   private Refusal refuse(
       AdmissionTicket ticket, ErrorKind kind, long freeInMillis, long nowMillis) {
-    // Each refused caller is given a moment of its own at the rate at which the queue drains: all
-    // of them coming back at once would be refused once more.
+    // Retry times are spaced at the drain rate: if all refused callers retried together, they would
+    // be refused again.
     double gap = 1_000 / rate.perSecond(nowMillis);
     double latest = nowMillis + (double) settings.maxComeBackMillis();
     nextComeBackAt = Math.max(nextComeBackAt, nowMillis + (double) freeInMillis) + gap;
     nextComeBackAt = Math.min(nextComeBackAt, latest);
-    long comeBack = (long) Math.ceil(nextComeBackAt - nowMillis);
+    long comeBackMillis = (long) Math.ceil(nextComeBackAt - nowMillis);
     return new Refusal(
-        ticket, Outcome.notRun(kind, NotRunProof.withdrawnFromQueue(), Math.max(1, comeBack)));
+        ticket,
+        Outcome.notRun(kind, NotRunProof.withdrawnFromQueue(), Math.max(1, comeBackMillis)));
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AdmissionSettings.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AdmissionSettings.java
@@ -3,19 +3,21 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * Holds the limits of an {@link AdmissionQueue}; a preset supplies them.
+ * Settings of an {@link AdmissionQueue}, supplied by a preset.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param maxQueued requests that may wait in all; bounds memory and the longest wait
- * @param maxQueuedPerService requests of one service and priority that may wait
- * @param lowerPriorityEvery each so-manieth request is taken from the lowest priority that waits,
- *     so that batch work goes on under load; at least 2
- * @param minServiceMillis the least time that serving takes, while nothing longer was measured:
- *     with less left, a request is refused instead of being run in vain; an engine step
- * @param initialPerSecond the drain rate assumed before any is measured; too low a one keeps the
- *     queue short until it is, too high a one takes in what is refused at its last moment
- * @param maxComeBackMillis the longest come-back time told
+ * @param maxQueued maximum number of waiting requests; bounds memory and the longest wait
+ * @param maxQueuedPerService maximum number of waiting requests per service and priority
+ * @param lowerPriorityEvery one in this many requests is taken from the lowest waiting priority, so
+ *     that batch work progresses under load; at least 2
+ * @param minServiceMillis minimum service time assumed while no longer one has been observed, in
+ *     milliseconds; with less time left a request is refused, since it could not finish; one engine
+ *     step
+ * @param initialPerSecond drain rate assumed before any is observed, in requests per second; if too
+ *     low, it keeps the queue short until then; if too high, it admits requests that are refused
+ *     just before their deadline
+ * @param maxComeBackMillis upper bound of the retry time sent to callers, in milliseconds
  */
 public record AdmissionSettings(
     int maxQueued,
@@ -25,31 +27,33 @@
     double initialPerSecond,
     long maxComeBackMillis) {
 
-  /** Suits a daemon that serves some 65 requests a second, of which each priority has a part. */
+  /** Defaults for a daemon that serves about 65 requests per second over all priorities. */
   public static final AdmissionSettings DEFAULT =
       new AdmissionSettings(512, 128, 16, 5, 20, 30_000);
 
-  /** Checks the limits. */
+  /** Validates the settings. */
   public AdmissionSettings {
     if (maxQueued < 1 || maxQueuedPerService < 1 || maxQueuedPerService > maxQueued) {
       throw new IllegalArgumentException(
-          "queued %d, per service %d".formatted(maxQueued, maxQueuedPerService));
+          "maxQueued %d or maxQueuedPerService %d out of range"
+              .formatted(maxQueued, maxQueuedPerService));
     }
     if (lowerPriorityEvery < 2 || minServiceMillis < 0 || !(initialPerSecond > 0)) {
       throw new IllegalArgumentException(
-          "lower priority every %d, service %d ms, %s a second"
+          "lowerPriorityEvery %d, minimum service time %d ms or drain rate %s per second out of range"
               .formatted(lowerPriorityEvery, minServiceMillis, initialPerSecond));
     }
     if (maxComeBackMillis < 1) {
-      throw new IllegalArgumentException("come back %d ms".formatted(maxComeBackMillis));
+      throw new IllegalArgumentException(
+          "maximum retry time must be positive: %d ms".formatted(maxComeBackMillis));
     }
   }
 
   /**
-   * Returns these limits with other bounds.
+   * Returns a copy with other queue bounds.
    *
-   * @param queued requests that may wait in all
-   * @param queuedPerService requests of one service and priority that may wait
+   * @param queued maximum number of waiting requests
+   * @param queuedPerService maximum number of waiting requests per service and priority
    */
   public AdmissionSettings holding(int queued, int queuedPerService) {
     return new AdmissionSettings(
@@ -62,9 +66,9 @@
   }
 
   /**
-   * Returns these limits with bounds as a preset asks for them.
+   * Returns a copy with queue bounds adjusted for a preset.
    *
-   * @param bound maps the bound of ordinary days to the one wanted
+   * @param bound maps a bound of the ordinary preset to the bound to use
    */
   public AdmissionSettings bounded(IntUnaryOperator bound) {
     int queued = bound.applyAsInt(maxQueued);
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AdmissionTicket.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AdmissionTicket.java
@@ -5,16 +5,16 @@
 import java.util.Objects;
 
 /**
- * Is one request's place in an {@link AdmissionQueue}.
+ * A request's entry in an {@link AdmissionQueue}.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param request the request
- * @param service whose share it uses
- * @param flow what is shared fairly within the service: the adapter's name, or empty
+ * @param service the service whose share it uses
+ * @param flow the unit of fair sharing within the service: the adapter's name, or empty
  * @param priority its priority
  * @param deadlineMillis when the answer is due
- * @param cost the work it stands for, such as its tokens; positive
+ * @param cost the amount of work, such as its number of tokens; positive
  */
 public record AdmissionTicket(
     RequestId request,
@@ -24,7 +24,7 @@
     long deadlineMillis,
     double cost) {
 
-  /** Checks the parts. */
+  /** Validates the components. */
   public AdmissionTicket {
     Objects.requireNonNull(request, "request");
     Objects.requireNonNull(service, "service");
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AnswerAssembler.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AnswerAssembler.java
@@ -10,110 +10,114 @@
 import java.util.TreeMap;
 
 /**
- * Puts the frames of one answer in order, and tells a whole answer from any other.
+ * Reassembles the frames of one answer in order and detects whether the answer is complete.
  *
- * <p>Frames of one attempt are taken at a time: two attempts may word their answers differently, so
- * a mix of both would be nobody's answer. Not safe for use by several threads.
+ * <p>Accepts frames of one attempt at a time: two attempts may produce different texts, and a mix
+ * would be the answer of neither. Not safe for use by several threads.
  */
 final class AnswerAssembler {
 
-  /** Tells what a frame was worth. */
-  enum Verdict {
+  /** How a frame was handled. */
+  enum FrameResult {
     /** In order; tokens may be ready. */
-    TAKEN,
-    /** Ahead of a missing one. */
-    HELD,
-    /** Seen before. */
-    DOUBLED,
-    /** Of another request or attempt. */
-    STRAY,
-    /** Of another adapter or version, or contradicting itself. */
+    ACCEPTED,
+    /** Buffered behind a missing frame. */
+    BUFFERED,
+    /** Received before. */
+    DUPLICATE,
+    /** Belongs to another request or attempt. */
+    UNEXPECTED,
+    /** Names another adapter or version, or contradicts earlier frames. */
     MISMATCH,
-    /** Too far ahead of a missing one. */
+    /** Too far ahead of a missing frame to be buffered. */
     OVERFLOW
   }
 
   private final RequestId request;
   private final Optional<AdapterVersion> expected;
-  private final int maxHeld;
-  private final TreeMap<Integer, AnswerFrame.Token> held = new TreeMap<>();
+  private final int maxBuffered;
+  private final TreeMap<Integer, AnswerFrame.Token> buffered = new TreeMap<>();
   private int attempt;
   private int next;
   private OptionalInt length = OptionalInt.empty();
 
-  AnswerAssembler(RequestId request, Optional<AdapterVersion> expected, int maxHeld) {
+  AnswerAssembler(RequestId request, Optional<AdapterVersion> expected, int maxBuffered) {
     this.request = Objects.requireNonNull(request, "request");
     this.expected = Objects.requireNonNull(expected, "expected");
-    this.maxHeld = maxHeld;
+    this.maxBuffered = maxBuffered;
   }
 
-  /** Takes frames of this attempt from now on, and forgets what the last one left unfinished. */
-  void source(int newAttempt) {
+  /**
+   * Selects the attempt whose frames are accepted and discards buffered frames of the previous one.
+   */
+  void selectAttempt(int newAttempt) {
     attempt = newAttempt;
-    held.clear();
+    buffered.clear();
     length = OptionalInt.empty();
   }
 
-  /** Returns the number of tokens handed on: where a further attempt goes on. */
-  int next() {
+  /**
+   * Returns the number of tokens delivered, which is the index at which another attempt resumes.
+   */
+  int nextIndex() {
     return next;
   }
 
-  /** Returns whether something is missing before a frame that is here. */
+  /** Returns whether a frame is missing before one that was received. */
   boolean hasGap() {
-    return !held.isEmpty() || (length.isPresent() && length.getAsInt() > next);
+    return !buffered.isEmpty() || (length.isPresent() && length.getAsInt() > next);
   }
 
-  /** Returns whether every token was handed on and the end is here. */
-  boolean isWhole() {
+  /** Returns whether all tokens were delivered and the end was received. */
+  boolean isComplete() {
     return length.isPresent() && length.getAsInt() == next;
   }
 
-  Verdict accept(AnswerFrame frame) {
+  FrameResult accept(AnswerFrame frame) {
     if (!frame.request().equals(request) || frame.attempt() != attempt) {
-      return Verdict.STRAY;
+      return FrameResult.UNEXPECTED;
     }
-    // An engine that restarted empty, or a late load, may answer on another adapter; nothing else
-    // would show it to the caller.
+    // An engine that restarted without its adapters, or a late load, may answer with another
+    // adapter; the caller could not detect that.
     if (!frame.ranOn().equals(expected)) {
-      return Verdict.MISMATCH;
+      return FrameResult.MISMATCH;
     }
     return frame instanceof AnswerFrame.Token token
         ? acceptToken(token)
         : acceptEnd((AnswerFrame.Finished) frame);
   }
 
-  private Verdict acceptToken(AnswerFrame.Token token) {
-    if (token.index() < next || held.containsKey(token.index())) {
-      return Verdict.DOUBLED;
+  private FrameResult acceptToken(AnswerFrame.Token token) {
+    if (token.index() < next || buffered.containsKey(token.index())) {
+      return FrameResult.DUPLICATE;
     }
     if (length.isPresent() && token.index() >= length.getAsInt()) {
-      return Verdict.MISMATCH;
+      return FrameResult.MISMATCH;
     }
-    if (token.index() - next > maxHeld) {
-      return Verdict.OVERFLOW;
+    if (token.index() - next > maxBuffered) {
+      return FrameResult.OVERFLOW;
     }
-    held.put(token.index(), token);
-    return token.index() == next ? Verdict.TAKEN : Verdict.HELD;
+    buffered.put(token.index(), token);
+    return token.index() == next ? FrameResult.ACCEPTED : FrameResult.BUFFERED;
   }
 
-  private Verdict acceptEnd(AnswerFrame.Finished end) {
+  private FrameResult acceptEnd(AnswerFrame.Finished end) {
     if (length.isPresent()) {
-      return length.getAsInt() == end.tokens() ? Verdict.DOUBLED : Verdict.MISMATCH;
+      return length.getAsInt() == end.tokens() ? FrameResult.DUPLICATE : FrameResult.MISMATCH;
     }
-    int seen = held.isEmpty() ? next : held.lastKey() + 1;
+    int seen = buffered.isEmpty() ? next : buffered.lastKey() + 1;
     if (end.tokens() < seen) {
-      return Verdict.MISMATCH;
+      return FrameResult.MISMATCH;
     }
     length = OptionalInt.of(end.tokens());
-    return hasGap() ? Verdict.HELD : Verdict.TAKEN;
+    return hasGap() ? FrameResult.BUFFERED : FrameResult.ACCEPTED;
   }
 
-  /** Removes and returns the tokens that are next in order. */
+  /** Removes and returns the buffered tokens that are next in order. */
   List<AnswerFrame.Token> drain() {
     List<AnswerFrame.Token> ready = new ArrayList<>();
-    while (held.containsKey(next)) {
-      ready.add(held.remove(next));
+    while (buffered.containsKey(next)) {
+      ready.add(buffered.remove(next));
       next++;
     }
     return ready;
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AnswerFrame.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AnswerFrame.java
@@ -5,28 +5,28 @@
 import java.util.Optional;
 
 /**
- * Is one frame of an answer, as it reaches the entry.
+ * A frame of an answer as received by the entry daemon.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
 public sealed interface AnswerFrame {
 
-  /** Returns the request that the sender says it answers. */
+  /** Returns the request named by the sender. */
   RequestId request();
 
-  /** Returns the attempt that the sender says it answers. */
+  /** Returns the attempt named by the sender. */
   int attempt();
 
-  /** Returns what the sender says it ran on; empty for a plain service. */
+  /** Returns the adapter version named by the sender; empty for a plain service. */
   Optional<AdapterVersion> ranOn();
 
   /**
-   * One token, or one part of a plain service's body.
+   * A token, or a part of the body of a plain service.
    *
    * @param request the request
    * @param attempt the attempt
    * @param ranOn adapter and version, or empty
-   * @param index the place in the whole answer, from zero, over all attempts
+   * @param index zero-based index in the complete answer, across all attempts
    * @param text the text
    */
   record Token(
@@ -34,12 +34,12 @@
       implements AnswerFrame {}
 
   /**
-   * The end of a whole answer.
+   * The end of a complete answer.
    *
    * @param request the request
    * @param attempt the attempt
    * @param ranOn adapter and version, or empty
-   * @param tokens the length of the whole answer, over all attempts
+   * @param tokens the length of the complete answer, across all attempts
    */
   record Finished(RequestId request, int attempt, Optional<AdapterVersion> ranOn, int tokens)
       implements AnswerFrame {}
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/Attempt.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/Attempt.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 import java.util.Optional;
 
-/** Holds the state of one attempt; not safe for use by several threads. */
+/** State of one attempt; not safe for use by several threads. */
 final class Attempt {
 
   private enum State {
@@ -18,8 +18,8 @@
   private final AttemptAction.Mode mode;
   private State state = State.SENT;
   private boolean everGranted;
-  private boolean produced;
-  private boolean heard;
+  private boolean producedTokens;
+  private boolean responded;
   private final Optional<EndpointId> prefer;
   private EndpointId endpoint;
   private NotRunProof proof;
@@ -34,7 +34,7 @@
     return number;
   }
 
-  /** Returns whether this attempt could make an endpoint begin the work. */
+  /** Returns whether this attempt can cause an endpoint to start the work. */
   boolean mayRun() {
     return mode != AttemptAction.Mode.ATTACH_ONLY;
   }
@@ -43,8 +43,11 @@
     return Optional.ofNullable(endpoint);
   }
 
-  /** Returns the endpoint that may have its stream: where it went, or should have gone. */
-  Optional<EndpointId> streamAt() {
+  /**
+   * Returns the endpoint that may hold its stream: the one it was routed to, else the preferred
+   * one.
+   */
+  Optional<EndpointId> streamEndpoint() {
     return endpoint().or(() -> prefer);
   }
 
@@ -60,7 +63,7 @@
     return state == State.SENT;
   }
 
-  boolean recordsStart() {
+  boolean isRecordingStart() {
     return state == State.RECORDING_START;
   }
 
@@ -77,40 +80,40 @@
     return everGranted;
   }
 
-  void produced() {
-    produced = true;
-    heard = true;
+  void markProducedTokens() {
+    producedTokens = true;
+    responded = true;
   }
 
-  void heard() {
-    heard = true;
+  void markResponded() {
+    responded = true;
   }
 
-  /** Returns whether the owner has said anything about this attempt. */
-  boolean wasHeard() {
-    return heard;
+  /** Returns whether the owner has responded to this attempt. */
+  boolean hasResponded() {
+    return responded;
   }
 
   AttemptAction.Mode mode() {
     return mode;
   }
 
-  boolean hasProduced() {
-    return produced;
+  boolean hasProducedTokens() {
+    return producedTokens;
   }
 
-  /** Ends the attempt with the proof that it did not run. */
-  void closeNotRun(NotRunProof why) {
-    proof = Objects.requireNonNull(why, "proof");
+  /** Closes the attempt with proof that it did not run. */
+  void closeNotRun(NotRunProof notRunProof) {
+    proof = Objects.requireNonNull(notRunProof, "proof");
     state = State.CLOSED;
   }
 
-  /** Ends the attempt without knowing whether it ran. */
+  /** Closes the attempt with its result unknown. */
   void closeUnresolved() {
     state = State.CLOSED;
   }
 
-  /** Returns whether it may have run, now or later. */
+  /** Returns whether it may have run or may still run. */
   boolean isUnresolved() {
     return mayRun() && proof == null;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AttemptAction.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AttemptAction.java
@@ -5,29 +5,29 @@
 import java.util.Set;
 
 /**
- * Is what the entry has to do next for a request, as its {@link RequestAttempts} decided.
+ * An action that {@link RequestAttempts} requests from the entry daemon.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
 public sealed interface AttemptAction {
 
-  /** Tells an owner what it may do with an attempt. */
+  /** What an owner may do with an attempt. */
   enum Mode {
     /** Run the request. */
     RUN,
-    /** Go on with the engine's stream if it still has it, else run from the offset on. */
+    /** Attach to the engine's stream if it still exists, else run from the offset. */
     ATTACH_OR_RUN,
-    /** Go on with the engine's stream; never run anything. */
+    /** Attach to the engine's stream; never run the request. */
     ATTACH_ONLY
   }
 
   /**
-   * Send an attempt, then tell {@link AttemptEvent.Routed} or {@link AttemptEvent.Unroutable}.
+   * Sends an attempt; answered by {@link AttemptEvent.Routed} or {@link AttemptEvent.Unroutable}.
    *
    * @param attempt its number, from one
    * @param mode what the owner may do
-   * @param resumeFrom the first token that is still wanted
-   * @param prefer the endpoint that may still have the stream; a must for {@code ATTACH_ONLY}
+   * @param resumeFrom index of the first missing token
+   * @param prefer the endpoint that may still hold the stream; required for {@code ATTACH_ONLY}
    * @param avoid endpoints that failed this request
    */
   record Send(
@@ -35,42 +35,44 @@
       implements AttemptAction {}
 
   /**
-   * Ask the home of the key to record the start, then tell {@link AttemptEvent.StartRecorded}.
+   * Requests that the key's primary replica records the start; answered by {@link
+   * AttemptEvent.StartRecorded} or {@link AttemptEvent.StartRefused}.
    *
    * @param attempt the attempt
    */
   record RecordStart(int attempt) implements AttemptAction {}
 
   /**
-   * Tell the owner that it may start; from here on a failure is UNKNOWN.
+   * Permits the owner to start; a failure after this is UNKNOWN.
    *
    * @param attempt the attempt
    */
   record GrantStart(int attempt) implements AttemptAction {}
 
   /**
-   * Tell the owner that it may never start this attempt.
+   * Denies the owner the start of this attempt permanently.
    *
    * @param attempt the attempt
    */
   record DenyStart(int attempt) implements AttemptAction {}
 
   /**
-   * Tell the owner to drop the attempt and to cancel it at the endpoint.
+   * Requests that the owner drop the attempt and cancel it at the endpoint.
    *
    * @param attempt the attempt
    */
   record Cancel(int attempt) implements AttemptAction {}
 
   /**
-   * Hand a token on to the caller.
+   * Delivers a token to the caller.
    *
-   * @param token the token, next in order
+   * @param token the next token in order
    */
   record Deliver(AnswerFrame.Token token) implements AttemptAction {}
 
   /**
-   * Tell the caller the outcome; the last action of a request besides denials.
+   * Sends the outcome to the caller; the last action of a request, except for later denials and
+   * cancellations.
    *
    * @param outcome the outcome
    */
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AttemptEvent.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AttemptEvent.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 
 /**
- * Is something that happened to a request, told to its {@link RequestAttempts}.
+ * An event of a request, handled by its {@link RequestAttempts}.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
@@ -14,37 +14,37 @@
    * The attempt was sent to the owner of this endpoint.
    *
    * @param attempt the attempt
-   * @param endpoint where it goes
+   * @param endpoint the endpoint it was routed to
    */
   record Routed(int attempt, EndpointId endpoint) implements AttemptEvent {}
 
   /**
-   * Nothing was sent for this attempt: no endpoint can take it.
+   * Nothing was sent for this attempt because no endpoint can take it.
    *
    * @param attempt the attempt
-   * @param kind why, of the class {@code NOT_RUN}
+   * @param kind the reason, of the class {@code NOT_RUN}
    */
   record Unroutable(int attempt, ErrorKind kind) implements AttemptEvent {}
 
   /**
-   * The owner is about to write to the endpoint and asks whether it may.
+   * The owner requests permission to write to the endpoint.
    *
    * @param attempt the attempt
    */
   record StartAsked(int attempt) implements AttemptEvent {}
 
   /**
-   * The home of the request's key has recorded its start.
+   * The primary replica of the request's key has recorded its start.
    *
    * @param attempt the attempt
    */
   record StartRecorded(int attempt) implements AttemptEvent {}
 
   /**
-   * The home of the request's key did not let it start, or did not answer.
+   * The primary replica of the request's key refused the start or did not reply.
    *
    * @param attempt the attempt
-   * @param kind what the caller is told
+   * @param kind the error sent to the caller
    */
   record StartRefused(int attempt, ErrorKind kind) implements AttemptEvent {}
 
@@ -56,40 +56,41 @@
   record Frame(AnswerFrame frame) implements AttemptEvent {}
 
   /**
-   * The owner says, with proof, that this attempt did not run and will not.
+   * The owner reports, with proof, that this attempt did not run and will not run.
    *
    * @param attempt the attempt
-   * @param kind why, of the class {@code NOT_RUN}
+   * @param kind the reason, of the class {@code NOT_RUN}
    * @param proof the owner's proof
-   * @param comeBackMillis when the owner expects room, or empty
+   * @param comeBackMillis when the owner expects free capacity, in milliseconds, or empty
    */
   record Refused(int attempt, ErrorKind kind, NotRunProof proof, OptionalLong comeBackMillis)
       implements AttemptEvent {}
 
   /**
-   * The link to the owner broke, or the owner is gone; the endpoint may go on.
+   * The link to the owner broke or the owner failed; the endpoint may still be running the work.
    *
    * @param attempt the attempt
    */
   record OwnerLost(int attempt) implements AttemptEvent {}
 
   /**
-   * The owner says that it lost the endpoint in the middle, or got an answer without its end.
+   * The owner reports that it lost the endpoint during the request, or received an answer without
+   * its end.
    *
    * @param attempt the attempt
    */
   record EndpointLost(int attempt) implements AttemptEvent {}
 
   /**
-   * The caller's connection takes no more for now, or takes more again.
+   * The caller's connection applies or releases backpressure.
    *
-   * @param paused whether reading of the answer was stopped
+   * @param paused whether reading of the answer is stopped
    */
   record Flow(boolean paused) implements AttemptEvent {}
 
   /** The caller closed its connection. */
   record CallerLeft() implements AttemptEvent {}
 
-  /** Time went by; due at {@link RequestAttempts#nextTickMillis()}. */
+  /** Time has passed; due at {@link RequestAttempts#nextTickMillis()}. */
   record Tick() implements AttemptEvent {}
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AttemptSettings.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AttemptSettings.java
@@ -1,47 +1,49 @@
 package io.sequoiapass.coordination.request;
 
 /**
- * Holds the limits of a request's attempts.
+ * Settings of a request's attempts.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param maxAttempts attempts of one request, the first included; a request that failed this often
- *     is likelier to be the cause than the endpoints
- * @param maxHeldTokens tokens kept behind a missing one; bounds the memory of one request
- * @param gapMillis how long a missing token may stay away: more than links reorder by, less than a
- *     caller notices
- * @param stallMillis how long a stream that has begun may be silent: many engine steps, so that
- *     only a frozen owner or engine is given up on
- * @param maxMoves attempts that may be given back because the endpoint's owner changed, beside
- *     {@code maxAttempts}: a rolling restart of a data centre moves an endpoint a few times, and
- *     more than that is a fault
- * @param movePauseMillis how long to wait after such a move: the new owner's table is on its way
- * @param ownerPauseMillis how often an owner is looked for after the last one was lost: takeovers
- *     take seconds, and a caller notices no tenth of one
+ * @param maxAttempts maximum number of attempts, including the first; a request that failed this
+ *     often is more likely to be the cause than the endpoints
+ * @param maxBufferedTokens maximum number of tokens buffered behind a missing one; bounds the
+ *     memory of one request
+ * @param gapMillis how long to wait for a missing token, in milliseconds: longer than links
+ *     reorder, shorter than a caller notices
+ * @param stallMillis how long a started stream may be silent, in milliseconds: many engine steps,
+ *     so that only a frozen owner or engine times out
+ * @param maxMoves maximum number of attempts returned because the endpoint's owner changed, in
+ *     addition to {@code maxAttempts}; a rolling restart of a data centre moves an endpoint a few
+ *     times, and more moves indicate a fault
+ * @param movePauseMillis delay before the next attempt after such a move, in milliseconds, while
+ *     the new owner's table is being propagated
+ * @param ownerPauseMillis interval between attempts to find an owner after the last one was lost,
+ *     in milliseconds; a takeover takes seconds, and a caller does not notice a tenth of a second
  */
 public record AttemptSettings(
     int maxAttempts,
-    int maxHeldTokens,
+    int maxBufferedTokens,
     long gapMillis,
     long stallMillis,
     int maxMoves,
     long movePauseMillis,
     long ownerPauseMillis) {
 
-  /** Suits engine steps of some 5 ms and links of a few milliseconds. */
+  /** Defaults for engine steps of about 5 ms and link latencies of a few milliseconds. */
   public static final AttemptSettings DEFAULT =
       new AttemptSettings(4, 256, 250, 2_000, 16, 20, 100);
 
-  /** Checks the limits. */
+  /** Validates the settings. */
   public AttemptSettings {
-    if (maxAttempts < 1 || maxHeldTokens < 0 || gapMillis <= 0 || stallMillis <= gapMillis) {
+    if (maxAttempts < 1 || maxBufferedTokens < 0 || gapMillis <= 0 || stallMillis <= gapMillis) {
       throw new IllegalArgumentException(
-          "attempts %d, held %d, gap %d ms, stall %d ms"
-              .formatted(maxAttempts, maxHeldTokens, gapMillis, stallMillis));
+          "maxAttempts %d, maxBufferedTokens %d, gap %d ms or stall %d ms out of range"
+              .formatted(maxAttempts, maxBufferedTokens, gapMillis, stallMillis));
     }
     if (maxMoves < 0 || movePauseMillis <= 0 || ownerPauseMillis <= 0) {
       throw new IllegalArgumentException(
-          "moves %d, pause %d ms, pause without owner %d ms"
+          "maxMoves %d, move pause %d ms or owner retry interval %d ms out of range"
               .formatted(maxMoves, movePauseMillis, ownerPauseMillis));
     }
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/FirstTokenTimes.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/FirstTokenTimes.java
@@ -4,50 +4,51 @@
 import java.util.Optional;
 
 /**
- * Learns after which time most requests have had their first token, for the hedges of others.
+ * Sliding-window estimator of the 95th percentile of the time to first token, used as the delay of
+ * hedged requests.
  *
  * <pre>{@code
  * times.add(millisToFirstToken);
  * RequestAttempts attempts = new RequestAttempts(spec, settings, budget, times.hedging());
  * }</pre>
  *
- * <p>Under an overload all times grow and the delay with them, so that hedges do not add to it. Not
- * safe for use by several threads.
+ * <p>Under an overload all times increase, and the delay with them, so that hedging does not add
+ * load. Not safe for use by several threads.
  */
 public final class FirstTokenTimes {
 
-  /** Enough for a 95th percentile that one odd request does not move far. */
-  private static final int KEPT = 128;
+  /** Large enough that one outlier barely moves the 95th percentile. */
+  private static final int WINDOW_SIZE = 128;
 
-  /** With fewer there is no telling what is usual, so nothing is hedged. */
-  private static final int LEAST = 32;
+  /** Fewer samples give no usable percentile, so nothing is hedged. */
+  private static final int MIN_SAMPLES = 32;
 
-  private static final double USUAL = 0.95;
+  private static final double PERCENTILE = 0.95;
 
-  /** Below two engine steps a hedge would be sent for nothing. */
-  private static final long LEAST_DELAY_MILLIS = 10;
+  /** A hedge sent within two engine steps would have no benefit. */
+  private static final long MIN_DELAY_MILLIS = 10;
 
-  private final long[] kept = new long[KEPT];
-  private long added;
+  private final long[] samples = new long[WINDOW_SIZE];
+  private long sampleCount;
   private long delayMillis;
 
   /**
-   * Notes how long one took.
+   * Adds a sample.
    *
-   * @param millis from the first attempt's start to the first token, in milliseconds
+   * @param millis time from the start of the first attempt to the first token, in milliseconds
    */
   public void add(long millis) {
-    kept[(int) (added % KEPT)] = millis;
-    added++;
-    if (added % LEAST == 0) {
-      int count = (int) Math.min(added, KEPT);
-      long[] sorted = Arrays.copyOf(kept, count);
+    samples[(int) (sampleCount % WINDOW_SIZE)] = millis;
+    sampleCount++;
+    if (sampleCount % MIN_SAMPLES == 0) {
+      int count = (int) Math.min(sampleCount, WINDOW_SIZE);
+      long[] sorted = Arrays.copyOf(samples, count);
       Arrays.sort(sorted);
-      delayMillis = Math.max(LEAST_DELAY_MILLIS, sorted[(int) (USUAL * (count - 1))]);
+      delayMillis = Math.max(MIN_DELAY_MILLIS, sorted[(int) (PERCENTILE * (count - 1))]);
     }
   }
 
-  /** Returns when to hedge, or empty while too little is known. */
+  /** Returns the hedging policy, or empty until there are enough samples. */
   public Optional<HedgePolicy> hedging() {
     return delayMillis == 0 ? Optional.empty() : Optional.of(new HedgePolicy(delayMillis));
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/HedgePolicy.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/HedgePolicy.java
@@ -3,22 +3,23 @@
 import java.util.OptionalLong;
 
 /**
- * Decides when a request that has had no token yet gets a second attempt beside the first.
+ * Policy for hedged requests: when a request without a first token gets a second, concurrent
+ * attempt.
  *
  * <pre>{@code
  * OptionalLong at = policy.hedgeAt(Priority.DEADLINE, Repeatability.REPEATABLE, now, deadline);
  * }</pre>
  *
- * <p>Only repeatable requests whose priority is hedged get one: a hedge of other work could run it
- * twice, and hedges of everything would be load without need. Instances are immutable and safe for
+ * <p>Only repeatable requests of a hedged priority are hedged: a hedge of other work could run it
+ * twice, and hedging every request would add needless load. Instances are immutable and safe for
  * use by several threads.
  *
- * @param delayMillis the time to the first token that most requests keep, such as their 95th
- *     percentile; a shorter delay sends hedges that nothing called for
+ * @param delayMillis delay in milliseconds within which most requests have their first token, such
+ *     as the 95th percentile; a shorter delay sends unnecessary hedges
  */
 public record HedgePolicy(long delayMillis) {
 
-  /** Checks the delay. */
+  /** Validates the delay. */
   public HedgePolicy {
     if (delayMillis <= 0) {
       throw new IllegalArgumentException("delay must be positive: " + delayMillis);
@@ -26,7 +27,7 @@
   }
 
   /**
-   * Returns the moment of the hedge, or empty if there is to be none.
+   * Returns the time at which to send the hedge, or empty if the request is not hedged.
    *
    * @param priority the request's priority
    * @param repeatability whether it may run twice
@@ -36,7 +37,7 @@
   public OptionalLong hedgeAt(
       Priority priority, Repeatability repeatability, long sentMillis, long deadlineMillis) {
     long at = sentMillis + delayMillis;
-    boolean wanted = priority.hedged() && repeatability.mayRunAgain() && at < deadlineMillis;
-    return wanted ? OptionalLong.of(at) : OptionalLong.empty();
+    boolean hedged = priority.hedged() && repeatability.mayRunAgain() && at < deadlineMillis;
+    return hedged ? OptionalLong.of(at) : OptionalLong.empty();
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/Ledger.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/Ledger.java
@@ -25,7 +25,8 @@
 import java.util.TreeSet;
 
 /**
- * Keeps, as home or as second, the records that let work of one idempotency key start once.
+ * Idempotency ledger: keeps, as primary or secondary replica, the records that let the work of an
+ * idempotency key start at most once.
  *
  * <pre>{@code
  * Ledger ledger = new Ledger(self, LedgerSettings.DEFAULT, Ranking.rendezvous(), now);
@@ -34,82 +35,87 @@
  * send(ledger.receive(entry, new LedgerMessage.Reserve(key, digest, holder), now));
  * }</pre>
  *
- * <p>A reservation is answered once its copy is kept by the second. A start is let go for the
- * reservation's holder alone. Whoever cannot be sure refuses. Driven under the lock of one shard;
- * not safe for use by several threads.
+ * <p>A reservation is confirmed after the secondary replica has stored its copy. A start is granted
+ * only to the holder of the reservation. A replica that may lack records refuses. Guarded by the
+ * lock of one shard; not safe for use by several threads.
  */
 public final class Ledger {
 
   private final LedgerMember self;
   private final LedgerSettings settings;
   private final Ranking ranking;
-  private final LedgerKnowledge knowledge;
+  private final LedgerSyncState syncState;
   private final Map<IdempotencyKey, LedgerEntry> entries = new LinkedHashMap<>();
   private final Map<LedgerMember, Long> yieldedTo = new TreeMap<>();
-  private final Map<LedgerMember, Long> lostEntries = new TreeMap<>();
+  private final Map<LedgerMember, Long> lostEntryDaemons = new TreeMap<>();
   private List<LedgerSend> sends = new ArrayList<>();
   private LedgerView view = new LedgerView(-1, Set.of());
-  private LedgerHomes homes;
+  private LedgerHomes replicas;
   private long authorityUntil = Long.MIN_VALUE;
   private long lastSequence;
-  private long askAgainAt;
+  private long resendAt;
 
   /**
-   * Creates the ledger of one life of a daemon; it knows nothing yet.
+   * Creates the empty ledger of one incarnation of a daemon.
    *
-   * @param self this life
+   * @param self this incarnation
    * @param settings times and limits
-   * @param ranking how homes are chosen; the same on all daemons
+   * @param ranking selects the replicas; the same on all daemons
    * @param nowMillis the time
    */
   public Ledger(LedgerMember self, LedgerSettings settings, Ranking ranking, long nowMillis) {
     this.self = Objects.requireNonNull(self, "self");
     this.settings = Objects.requireNonNull(settings, "settings");
     this.ranking = Objects.requireNonNull(ranking, "ranking");
-    this.knowledge = new LedgerKnowledge(self, settings, ranking, nowMillis);
-    this.homes = new LedgerHomes(ranking, Set.of());
+    this.syncState = new LedgerSyncState(self, settings, ranking, nowMillis);
+    this.replicas = new LedgerHomes(ranking, Set.of());
   }
 
   /**
-   * Sets until when this life may decide: the end of its lease less a margin, counted from before
-   * the renewal was sent. Others take over after the lease has lapsed, so a home that is cut off or
-   * frozen has to have stopped by then.
+   * Sets until when this incarnation may decide: the end of its lease minus a margin, measured from
+   * before the renewal was sent. Other members take over after the lease has expired, so a primary
+   * replica that is partitioned or frozen must have stopped deciding by then.
    */
   public void authorityUntil(long untilMillis) {
     authorityUntil = untilMillis;
   }
 
   /**
-   * Notes that no ledger was kept before this life, so that it need not wait for the retention.
-   * Only who creates the membership on the platform may know this: then there was none before it.
+   * Declares that no ledger existed before this incarnation, so that it need not wait for the
+   * retention period. Only the daemon that creates the membership on the platform can establish
+   * this.
    */
   public void nothingBefore() {
-    knowledge.nothingBefore();
+    syncState.assumeNoEarlierRecords();
   }
 
-  /** Takes a membership; an older one than the last is ignored. */
+  /** Applies a membership; ignored if it is older than the current one. */
   public List<LedgerSend> membersChanged(LedgerView newView, long nowMillis) {
     if (newView.version() <= view.version()) {
       return List.of();
     }
-    Set<LedgerMember> gone = new TreeSet<>(view.members());
-    gone.removeAll(newView.members());
+    Set<LedgerMember> departed = new TreeSet<>(view.members());
+    departed.removeAll(newView.members());
     view = newView;
     yieldedTo.values().removeIf(version -> version <= newView.version());
-    gone.forEach(member -> lostEntries.put(member, nowMillis + settings.retentionMillis()));
-    rehome(nowMillis);
+    departed.forEach(
+        member -> lostEntryDaemons.put(member, nowMillis + settings.retentionMillis()));
+    updateReplicas(nowMillis);
     resolveLost(nowMillis);
-    return takeSends();
+    return drainSends();
   }
 
-  /** Notes that an entry's life ended that was no member, such as one of another data centre. */
+  /**
+   * Records the failure of an entry daemon's incarnation that was not a member, such as one of
+   * another data centre.
+   */
   public List<LedgerSend> entryLost(LedgerMember entry, long nowMillis) {
-    lostEntries.put(entry, nowMillis + settings.retentionMillis());
+    lostEntryDaemons.put(entry, nowMillis + settings.retentionMillis());
     resolveLost(nowMillis);
-    return takeSends();
+    return drainSends();
   }
 
-  /** Takes a message of another daemon, or of this one. */
+  /** Handles a message from another daemon or from this one. */
   public List<LedgerSend> receive(DaemonId from, LedgerMessage message, long nowMillis) {
     if (message instanceof Reserve reserve) {
       reserve(from, reserve, nowMillis);
@@ -120,47 +126,50 @@
     } else if (message instanceof StillOpen open) {
       stillOpen(open, nowMillis);
     } else if (message instanceof Copy copy) {
-      keepCopy(from, copy.record(), nowMillis);
+      storeCopy(from, copy.record(), nowMillis);
     } else if (message instanceof Copied copied) {
       copied(copied, nowMillis);
-    } else if (message instanceof AskRecords ask) {
-      handOver(from, ask, nowMillis);
+    } else if (message instanceof AskRecords request) {
+      sendRecords(from, request, nowMillis);
     } else if (message instanceof Records records) {
-      learn(records, nowMillis);
+      receiveRecords(records, nowMillis);
     }
-    return takeSends();
+    return drainSends();
   }
 
-  /** Lets time pass: expiry, copies that did not come, members that did not answer. */
+  /**
+   * Handles expiry and timeouts: missing copy confirmations, holders and members that did not
+   * reply.
+   */
   public List<LedgerSend> tick(long nowMillis) {
     entries.values().removeIf(entry -> entry.isExpired(nowMillis));
-    lostEntries.values().removeIf(until -> nowMillis >= until);
+    lostEntryDaemons.values().removeIf(until -> nowMillis >= until);
     for (LedgerEntry entry : entries.values()) {
-      if (entry.waitedSince(nowMillis) >= settings.copyTimeoutMillis()) {
-        refuseWaiting(entry, nowMillis);
+      if (entry.pendingMillis(nowMillis) >= settings.copyTimeoutMillis()) {
+        abandonPending(entry, nowMillis);
       }
-      answerAskers(entry, nowMillis - settings.holderTimeoutMillis(), nowMillis);
+      replyToRequesters(entry, nowMillis - settings.holderTimeoutMillis(), nowMillis);
     }
-    if (nowMillis >= askAgainAt) {
-      askAll(nowMillis);
+    if (nowMillis >= resendAt) {
+      requestRecords(nowMillis);
     }
-    if (!lostEntries.isEmpty()) {
+    if (!lostEntryDaemons.isEmpty()) {
       resolveLost(nowMillis);
     }
-    return takeSends();
+    return drainSends();
   }
 
-  /** Returns whether this life would decide about the key now. */
+  /** Returns whether this incarnation may decide about the key. */
   public boolean decides(IdempotencyKey key, long nowMillis) {
-    return isHome(key) && nowMillis < authorityUntil && knowledge.knows(key, nowMillis);
+    return isPrimary(key) && nowMillis < authorityUntil && syncState.hasAllRecords(key, nowMillis);
   }
 
-  /** Returns the number of records kept. */
+  /** Returns the number of records. */
   public int size() {
     return entries.size();
   }
 
-  // Home.
+  // Primary replica.
 
   private void reserve(DaemonId from, Reserve reserve, long nowMillis) {
     IdempotencyKey key = reserve.key();
@@ -171,7 +180,7 @@
     }
     Optional<ErrorKind> refusal = refusal(entry, reserve, nowMillis);
     if (refusal.filter(kind -> kind == ErrorKind.KEY_IN_PROGRESS).isPresent()) {
-      askHolder(entry, from, reserve.holder(), nowMillis);
+      queryHolder(entry, from, reserve.holder(), nowMillis);
       return;
     }
     if (refusal.isPresent()) {
@@ -187,7 +196,7 @@
               LedgerState.RESERVED,
               ++lastSequence,
               settings.retentionMillis());
-      entry = LedgerEntry.own(record, nowMillis);
+      entry = LedgerEntry.createdHere(record, nowMillis);
       entries.put(key, entry);
     }
     copyOrAnswer(entry, from, Step.RESERVE, nowMillis);
@@ -195,7 +204,7 @@
 
   private Optional<ErrorKind> refusal(LedgerEntry entry, Reserve reserve, long nowMillis) {
     if (!decides(reserve.key(), nowMillis)
-        || homes.second(reserve.key()).isEmpty()
+        || replicas.second(reserve.key()).isEmpty()
         || (entry == null && entries.size() >= settings.maxRecords())) {
       return Optional.of(ErrorKind.LEDGER_UNAVAILABLE);
     }
@@ -212,51 +221,54 @@
   }
 
   /**
-   * Asks the holder before its key is called in progress. Its caller may have had the answer
-   * already while the word of it is still on its way, or was lost with the home before this one;
-   * the same caller would then hear that its finished work is under way. The holder notes the end
-   * before its caller hears of it, so its word is never behind what the caller knows.
+   * Queries the holder before its key is reported as in progress. The holder's caller may already
+   * have its answer while the outcome message is in transit, or the message was lost with the
+   * previous primary replica; the same caller would then be told that its finished work is in
+   * progress. The holder records the outcome before it answers its caller, so its reply is never
+   * older than what the caller has received.
    */
-  private void askHolder(LedgerEntry entry, DaemonId from, Holder asker, long nowMillis) {
-    entry.awaitHolder(asker, from, nowMillis);
+  private void queryHolder(LedgerEntry entry, DaemonId from, Holder requester, long nowMillis) {
+    entry.addRequester(requester, from, nowMillis);
     LedgerRecord record = entry.record();
     sends.add(
         new LedgerSend(
-            record.holder().entry().daemon(), new AskHolder(record.key(), record.holder(), asker)));
+            record.holder().entry().daemon(),
+            new AskHolder(record.key(), record.holder(), requester)));
   }
 
   private void stillOpen(StillOpen open, long nowMillis) {
     LedgerEntry entry = entries.get(open.key());
     if (entry != null && entry.record().holder().equals(open.holder())) {
       entry
-          .takeAsker(open.asker())
-          .ifPresent(daemon -> answerAsker(entry, open.asker(), daemon, nowMillis));
+          .removeRequester(open.asker())
+          .ifPresent(daemon -> replyToRequester(entry, open.asker(), daemon, nowMillis));
     }
   }
 
-  private void answerAsker(LedgerEntry entry, Holder asker, DaemonId daemon, long nowMillis) {
+  private void replyToRequester(
+      LedgerEntry entry, Holder requester, DaemonId daemon, long nowMillis) {
     LedgerRecord record = entry.record();
-    boolean tells = record.state() != LedgerState.RELEASED && decides(record.key(), nowMillis);
-    ErrorKind refusal = tells ? record.state().refusal() : ErrorKind.LEDGER_UNAVAILABLE;
-    answer(daemon, record.key(), asker, Step.RESERVE, Optional.of(refusal));
+    boolean hasState = record.state() != LedgerState.RELEASED && decides(record.key(), nowMillis);
+    ErrorKind refusal = hasState ? record.state().refusal() : ErrorKind.LEDGER_UNAVAILABLE;
+    answer(daemon, record.key(), requester, Step.RESERVE, Optional.of(refusal));
   }
 
-  private void answerAskers(LedgerEntry entry, long beforeMillis, long nowMillis) {
+  private void replyToRequesters(LedgerEntry entry, long beforeMillis, long nowMillis) {
     entry
-        .takeAskers(beforeMillis)
-        .forEach((asker, daemon) -> answerAsker(entry, asker, daemon, nowMillis));
+        .removeRequesters(beforeMillis)
+        .forEach((requester, daemon) -> replyToRequester(entry, requester, daemon, nowMillis));
   }
 
   private void markStart(DaemonId from, MarkStart start, long nowMillis) {
     LedgerEntry entry = entries.get(start.key());
-    boolean held =
+    boolean isHolder =
         entry != null
             && !entry.isExpired(nowMillis)
             && entry.record().holder().equals(start.holder())
             && entry.record().state().isOpen();
-    if (!held || !decides(start.key(), nowMillis) || homes.second(start.key()).isEmpty()) {
-      // The holder may have lost the key to another while it was cut off; a yes from memory would
-      // start the work beside that one.
+    if (!isHolder || !decides(start.key(), nowMillis) || replicas.second(start.key()).isEmpty()) {
+      // The key may have been reassigned while the holder was partitioned; granting the start from
+      // an old record would run the work a second time.
       Optional<ErrorKind> refusal = Optional.of(ErrorKind.LEDGER_UNAVAILABLE);
       answer(from, start.key(), start.holder(), Step.MARK_START, refusal);
       return;
@@ -275,29 +287,33 @@
       answer(from, finish.key(), finish.holder(), Step.FINISH, Optional.empty());
       return;
     }
-    LedgerState ended = LedgerState.after(finish.outcome());
-    if (entry.record().state().yieldsTo(ended)) {
+    LedgerState ended = LedgerState.ofOutcome(finish.outcome());
+    if (entry.record().state().isReplacedBy(ended)) {
       change(entry, ended, nowMillis);
     }
-    // Once it is answered the holder forgets it. If this home were lost before the second had the
-    // outcome, the key would be open until it expires, with nobody left who knows better.
+    // The holder drops the outcome once it is confirmed. If this primary replica failed before the
+    // secondary had the outcome, the key would stay open until it expires.
     copyOrAnswer(entry, from, Step.FINISH, nowMillis);
   }
 
-  /** Answers at once if the current second has the copy, else when it has. */
+  /**
+   * Answers immediately if the current secondary replica has the copy, else after it confirms the
+   * copy.
+   */
   private void copyOrAnswer(LedgerEntry entry, DaemonId from, Step step, long nowMillis) {
-    if (entry.isCopiedTo(homes.second(entry.record().key()))) {
-      allow(entry, from, step);
+    if (entry.isCopiedTo(replicas.second(entry.record().key()))) {
+      grant(entry, from, step);
     } else {
-      entry.await(from, step, nowMillis);
+      entry.addPendingReply(from, step, nowMillis);
       sendCopy(entry, nowMillis);
     }
   }
 
-  private void allow(LedgerEntry entry, DaemonId entryDaemon, Step step) {
+  private void grant(LedgerEntry entry, DaemonId entryDaemon, Step step) {
     if (step == Step.MARK_START && entry.record().state() == LedgerState.RESERVED) {
-      // The copy may stay at RESERVED: a second that takes over counts that as maybe started.
-      entry.started();
+      // The copy may stay RESERVED: a secondary that takes over treats RESERVED as possibly
+      // started.
+      entry.markStarted();
     }
     LedgerRecord record = entry.record();
     answer(entryDaemon, record.key(), record.holder(), step, Optional.empty());
@@ -308,71 +324,76 @@
     if (entry == null || entry.record().sequence() != copied.sequence()) {
       return;
     }
-    entry.copiedTo(copied.by());
-    if (entry.isCopiedTo(homes.second(copied.key())) && decides(copied.key(), nowMillis)) {
-      entry.takeWaiting().forEach((step, daemon) -> allow(entry, daemon, step));
+    entry.markCopiedTo(copied.by());
+    if (entry.isCopiedTo(replicas.second(copied.key())) && decides(copied.key(), nowMillis)) {
+      entry.removePendingReplies().forEach((step, daemon) -> grant(entry, daemon, step));
     }
   }
 
   private void change(LedgerEntry entry, LedgerState state, long nowMillis) {
-    refuseAll(entry);
+    refusePendingReplies(entry);
     entry.change(state, ++lastSequence, nowMillis + settings.retentionMillis());
-    answerAskers(entry, Long.MAX_VALUE, nowMillis);
+    replyToRequesters(entry, Long.MAX_VALUE, nowMillis);
     sendCopy(entry, nowMillis);
   }
 
-  private void refuseWaiting(LedgerEntry entry, long nowMillis) {
-    boolean neverAnswered =
-        entry.waits(Step.RESERVE) && entry.record().state() == LedgerState.RESERVED;
-    refuseAll(entry);
-    if (neverAnswered) {
+  private void abandonPending(LedgerEntry entry, long nowMillis) {
+    boolean neverConfirmed =
+        entry.hasPendingReply(Step.RESERVE) && entry.record().state() == LedgerState.RESERVED;
+    refusePendingReplies(entry);
+    if (neverConfirmed) {
       change(entry, LedgerState.RELEASED, nowMillis);
     }
   }
 
-  private void refuseAll(LedgerEntry entry) {
+  private void refusePendingReplies(LedgerEntry entry) {
     LedgerRecord record = entry.record();
     Optional<ErrorKind> refusal = Optional.of(ErrorKind.LEDGER_UNAVAILABLE);
     entry
-        .takeWaiting()
+        .removePendingReplies()
         .forEach((step, daemon) -> answer(daemon, record.key(), record.holder(), step, refusal));
   }
 
-  /** Ends what lives of entries that are gone left open, as far as this life decides about it. */
+  /**
+   * Closes the open records of failed entry daemons for the keys that this incarnation decides
+   * about.
+   */
   private void resolveLost(long nowMillis) {
     for (LedgerEntry entry : entries.values()) {
       LedgerRecord record = entry.record();
-      if (!lostEntries.containsKey(record.holder().entry())
+      if (!lostEntryDaemons.containsKey(record.holder().entry())
           || !record.state().isOpen()
           || !decides(record.key(), nowMillis)) {
         continue;
       }
-      // Only the home that made the record knows that no start was let go; a copy does not.
-      boolean surelyNotStarted = entry.isOwn() && record.state() == LedgerState.RESERVED;
-      change(entry, surelyNotStarted ? LedgerState.RELEASED : LedgerState.UNKNOWN, nowMillis);
+      // Only the primary replica that created the record can rule out that a start was granted; a
+      // copy cannot.
+      boolean provedNotStarted =
+          entry.isPrimarySinceCreation() && record.state() == LedgerState.RESERVED;
+      change(entry, provedNotStarted ? LedgerState.RELEASED : LedgerState.UNKNOWN, nowMillis);
     }
   }
 
-  // Copies and changes of home.
+  // Replication and membership changes.
 
-  private void keepCopy(DaemonId from, LedgerRecord record, long nowMillis) {
-    LedgerEntry known = entries.get(record.key());
-    if (known != null && known.record().sequence() > record.sequence()) {
-      // A copy that was held up on its way must not undo a later one, nor be counted as kept.
-      sends.add(new LedgerSend(from, new Copy(known.recordAt(nowMillis))));
+  private void storeCopy(DaemonId from, LedgerRecord record, long nowMillis) {
+    LedgerEntry stored = entries.get(record.key());
+    if (stored != null && stored.record().sequence() > record.sequence()) {
+      // A delayed copy must not overwrite a later one, nor be confirmed as stored.
+      sends.add(new LedgerSend(from, new Copy(stored.recordAt(nowMillis))));
       return;
     }
-    keep(record, nowMillis);
+    store(record, nowMillis);
     sends.add(new LedgerSend(from, new Copied(self, record.key(), record.sequence())));
   }
 
-  private void keep(LedgerRecord record, long nowMillis) {
+  private void store(LedgerRecord record, long nowMillis) {
     lastSequence = Math.max(lastSequence, record.sequence());
-    LedgerEntry known = entries.get(record.key());
-    if (known == null || known.record().sequence() < record.sequence()) {
-      if (known != null) {
-        refuseAll(known);
-        answerAskers(known, Long.MAX_VALUE, nowMillis);
+    LedgerEntry stored = entries.get(record.key());
+    if (stored == null || stored.record().sequence() < record.sequence()) {
+      if (stored != null) {
+        refusePendingReplies(stored);
+        replyToRequesters(stored, Long.MAX_VALUE, nowMillis);
       }
       entries.put(record.key(), LedgerEntry.copyOf(record, nowMillis));
     }
@@ -380,58 +401,61 @@
 
   private void sendCopy(LedgerEntry entry, long nowMillis) {
     IdempotencyKey key = entry.record().key();
-    if (isHome(key)) {
-      homes
+    if (isPrimary(key)) {
+      replicas
           .second(key)
           .ifPresent(
-              second ->
-                  sends.add(new LedgerSend(second.daemon(), new Copy(entry.recordAt(nowMillis)))));
+              secondary ->
+                  sends.add(
+                      new LedgerSend(secondary.daemon(), new Copy(entry.recordAt(nowMillis)))));
     }
   }
 
   /**
-   * Works out the homes anew, and gives the records that this life decides about to new seconds.
+   * Recomputes the replicas, and copies the records that this incarnation decides about to new
+   * secondaries.
    */
-  private void rehome(long nowMillis) {
+  private void updateReplicas(long nowMillis) {
     Set<LedgerMember> members = new TreeSet<>(view.members());
     members.addAll(yieldedTo.keySet());
-    LedgerHomes before = homes;
-    homes = new LedgerHomes(ranking, members);
-    if (homes.equals(before)) {
+    LedgerHomes before = replicas;
+    replicas = new LedgerHomes(ranking, members);
+    if (replicas.equals(before)) {
       return;
     }
-    knowledge.membersChanged(before, homes, nowMillis);
-    askAll(nowMillis);
+    syncState.membersChanged(before, replicas, nowMillis);
+    requestRecords(nowMillis);
     for (LedgerEntry entry : entries.values()) {
       IdempotencyKey key = entry.record().key();
-      if (!isHome(key)) {
-        refuseWaiting(entry, nowMillis);
-        answerAskers(entry, Long.MAX_VALUE, nowMillis);
-        entry.disown();
-      } else if (!entry.isCopiedTo(homes.second(key))) {
+      if (!isPrimary(key)) {
+        abandonPending(entry, nowMillis);
+        replyToRequesters(entry, Long.MAX_VALUE, nowMillis);
+        entry.markNotPrimary();
+      } else if (!entry.isCopiedTo(replicas.second(key))) {
         sendCopy(entry, nowMillis);
       }
     }
   }
 
-  private void handOver(DaemonId from, AskRecords ask, long nowMillis) {
-    if (!homes.members().contains(ask.by())) {
-      if (ask.view() <= view.version()) {
+  private void sendRecords(DaemonId from, AskRecords request, long nowMillis) {
+    if (!replicas.members().contains(request.by())) {
+      if (request.view() <= view.version()) {
         return;
       }
-      // The asker acts on a later membership than this one. Were it not counted in from now on,
-      // both would be home of the same keys until this one hears of it.
-      yieldedTo.put(ask.by(), ask.view());
-      rehome(nowMillis);
-    }
-    if (ask.view() > view.version()) {
-      // Losses are seen by comparing memberships: until this life has the asker's, it would answer
-      // that nothing was lost. It is asked again.
+      // The requester acts on a later membership. Unless it is treated as a member from this point,
+      // both daemons would be primary replica of the same keys until this one receives that
+      // membership.
+      yieldedTo.put(request.by(), request.view());
+      updateReplicas(nowMillis);
+    }
+    if (request.view() > view.version()) {
+      // Losses are detected by comparing memberships: without the requester's membership this
+      // incarnation would report that there was no loss. The requester sends its request again.
       return;
     }
     List<LedgerRecord> records =
         entries.values().stream()
-            .filter(entry -> homes.isHolder(entry.record().key(), ask.by()))
+            .filter(entry -> replicas.isReplica(entry.record().key(), request.by()))
             .map(entry -> entry.recordAt(nowMillis))
             .toList();
     sends.add(
@@ -439,39 +463,40 @@
             from,
             new Records(
                 self,
-                ask.view(),
+                request.view(),
                 records,
-                knowledge.losses(nowMillis),
-                knowledge.isSeasoned(nowMillis))));
+                syncState.losses(nowMillis),
+                syncState.isRetentionElapsed(nowMillis))));
   }
 
-  private void learn(Records records, long nowMillis) {
+  private void receiveRecords(Records records, long nowMillis) {
     if (records.view() != actingVersion()) {
       return;
     }
-    records.records().forEach(record -> keep(record, nowMillis));
-    knowledge.heardFrom(records, nowMillis);
+    records.records().forEach(record -> store(record, nowMillis));
+    syncState.receiveRecords(records, nowMillis);
     resolveLost(nowMillis);
   }
 
-  private void askAll(long nowMillis) {
-    askAgainAt = nowMillis + settings.askAgainMillis();
-    knowledge.settle();
-    for (LedgerMember member : knowledge.awaited()) {
+  private void requestRecords(long nowMillis) {
+    resendAt = nowMillis + settings.resendIntervalMillis();
+    syncState.updateSynchronized();
+    for (LedgerMember member : syncState.pendingMembers()) {
       sends.add(new LedgerSend(member.daemon(), new AskRecords(self, actingVersion())));
     }
   }
 
   /**
-   * Returns the membership's version that this life acts on. After it has handed keys over to a
-   * member of a later one, only answers by those who know that one too tell of all losses.
+   * Returns the version of the membership that this incarnation acts on. After it has yielded keys
+   * to a member of a later membership, only replies of members that have that membership too report
+   * all losses.
    */
   private long actingVersion() {
     return yieldedTo.values().stream().reduce(view.version(), Math::max);
   }
 
-  private boolean isHome(IdempotencyKey key) {
-    return homes.home(key).filter(self::equals).isPresent();
+  private boolean isPrimary(IdempotencyKey key) {
+    return replicas.home(key).filter(self::equals).isPresent();
   }
 
   private void answer(
@@ -479,9 +504,9 @@
     sends.add(new LedgerSend(to, new Answer(key, holder, step, refusal)));
   }
 
-  private List<LedgerSend> takeSends() {
-    List<LedgerSend> taken = sends;
+  private List<LedgerSend> drainSends() {
+    List<LedgerSend> drained = sends;
     sends = new ArrayList<>();
-    return taken;
+    return drained;
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerEntry.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerEntry.java
@@ -8,31 +8,34 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Holds one record with what its daemon knows about it; not safe for use by several threads. */
+/**
+ * A ledger record with the local replication state of its daemon; not safe for use by several
+ * threads.
+ */
 final class LedgerEntry {
 
   private LedgerRecord record;
-  private boolean own;
+  private boolean primarySinceCreation;
   private long expiresAt;
-  private LedgerMember copyAt;
-  private Map<Step, DaemonId> waiting = new EnumMap<>(Step.class);
-  private long waitingSince;
-  private final Map<Holder, Asker> askers = new LinkedHashMap<>();
+  private LedgerMember copyHolder;
+  private Map<Step, DaemonId> pendingReplies = new EnumMap<>(Step.class);
+  private long pendingSince;
+  private final Map<Holder, Requester> requesters = new LinkedHashMap<>();
 
-  private record Asker(DaemonId entry, long since) {}
+  private record Requester(DaemonId entry, long since) {}
 
-  private LedgerEntry(LedgerRecord record, boolean own, long nowMillis) {
+  private LedgerEntry(LedgerRecord record, boolean primarySinceCreation, long nowMillis) {
     this.record = record;
-    this.own = own;
+    this.primarySinceCreation = primarySinceCreation;
     this.expiresAt = nowMillis + record.expiresInMillis();
   }
 
-  /** Returns the entry of a record that this daemon makes as its home. */
-  static LedgerEntry own(LedgerRecord record, long nowMillis) {
+  /** Returns the entry of a record created by this daemon as its primary replica. */
+  static LedgerEntry createdHere(LedgerRecord record, long nowMillis) {
     return new LedgerEntry(record, true, nowMillis);
   }
 
-  /** Returns the entry of a record that another daemon made. */
+  /** Returns the entry of a record created by another daemon. */
   static LedgerEntry copyOf(LedgerRecord record, long nowMillis) {
     return new LedgerEntry(record, false, nowMillis);
   }
@@ -45,13 +48,16 @@
     return record.with(record.state(), record.sequence(), Math.max(0, expiresAt - nowMillis));
   }
 
-  boolean isOwn() {
-    return own;
+  boolean isPrimarySinceCreation() {
+    return primarySinceCreation;
   }
 
-  /** Notes that another daemon decides, and may let a start go without this one hearing of it. */
-  void disown() {
-    own = false;
+  /**
+   * Records that another daemon decides about the key and may grant a start without notifying this
+   * one.
+   */
+  void markNotPrimary() {
+    primarySinceCreation = false;
   }
 
   boolean isExpired(long nowMillis) {
@@ -61,63 +67,66 @@
   void change(LedgerState state, long sequence, long newExpiresAt) {
     record = record.with(state, sequence, record.expiresInMillis());
     expiresAt = newExpiresAt;
-    copyAt = null;
+    copyHolder = null;
   }
 
-  void started() {
+  void markStarted() {
     record = record.with(LedgerState.STARTED, record.sequence(), record.expiresInMillis());
   }
 
-  void copiedTo(LedgerMember member) {
-    copyAt = member;
+  void markCopiedTo(LedgerMember member) {
+    copyHolder = member;
   }
 
   boolean isCopiedTo(Optional<LedgerMember> member) {
-    return member.isPresent() && member.get().equals(copyAt);
+    return member.isPresent() && member.get().equals(copyHolder);
   }
 
-  void await(DaemonId entry, Step step, long nowMillis) {
-    if (waiting.isEmpty()) {
-      waitingSince = nowMillis;
+  void addPendingReply(DaemonId entry, Step step, long nowMillis) {
+    if (pendingReplies.isEmpty()) {
+      pendingSince = nowMillis;
     }
-    waiting.put(step, entry);
+    pendingReplies.put(step, entry);
   }
 
-  /** Returns how long answers have waited for the copy, or a negative number if none wait. */
-  long waitedSince(long nowMillis) {
-    return waiting.isEmpty() ? -1 : nowMillis - waitingSince;
+  /**
+   * Returns how long replies have been waiting for the copy confirmation, or a negative number if
+   * none are pending.
+   */
+  long pendingMillis(long nowMillis) {
+    return pendingReplies.isEmpty() ? -1 : nowMillis - pendingSince;
   }
 
-  boolean waits(Step step) {
-    return waiting.containsKey(step);
+  boolean hasPendingReply(Step step) {
+    return pendingReplies.containsKey(step);
   }
 
-  /** Notes that another reservation waits for the holder's word. */
-  void awaitHolder(Holder asker, DaemonId entry, long nowMillis) {
-    askers.putIfAbsent(asker, new Asker(entry, nowMillis));
+  /** Adds a reservation that waits for the reply of the holder. */
+  void addRequester(Holder requester, DaemonId entry, long nowMillis) {
+    requesters.putIfAbsent(requester, new Requester(entry, nowMillis));
   }
 
-  /** Ends the wait of one reservation; empty if it does not wait. */
-  Optional<DaemonId> takeAsker(Holder asker) {
-    return Optional.ofNullable(askers.remove(asker)).map(Asker::entry);
+  /** Removes a waiting reservation and returns its daemon; empty if it is not waiting. */
+  Optional<DaemonId> removeRequester(Holder requester) {
+    return Optional.ofNullable(requesters.remove(requester)).map(Requester::entry);
   }
 
-  /** Ends the wait of all reservations that began to wait before a time. */
-  Map<Holder, DaemonId> takeAskers(long beforeMillis) {
-    Map<Holder, DaemonId> taken = new LinkedHashMap<>();
-    askers.forEach(
-        (asker, waiting) -> {
-          if (waiting.since < beforeMillis) {
-            taken.put(asker, waiting.entry);
+  /** Removes and returns the reservations that have been waiting since before a time. */
+  Map<Holder, DaemonId> removeRequesters(long beforeMillis) {
+    Map<Holder, DaemonId> removed = new LinkedHashMap<>();
+    requesters.forEach(
+        (requester, waiter) -> {
+          if (waiter.since < beforeMillis) {
+            removed.put(requester, waiter.entry);
           }
         });
-    askers.keySet().removeAll(taken.keySet());
-    return taken;
+    requesters.keySet().removeAll(removed.keySet());
+    return removed;
   }
 
-  Map<Step, DaemonId> takeWaiting() {
-    Map<Step, DaemonId> taken = waiting;
-    waiting = new EnumMap<>(Step.class);
-    return taken;
+  Map<Step, DaemonId> removePendingReplies() {
+    Map<Step, DaemonId> removed = pendingReplies;
+    pendingReplies = new EnumMap<>(Step.class);
+    return removed;
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerHomes.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerHomes.java
@@ -13,15 +13,15 @@
 import java.util.TreeSet;
 
 /**
- * Names the home of each idempotency key and the second daemon that keeps a copy.
+ * Assigns each idempotency key its primary and secondary replica among the members.
  *
  * <pre>{@code
- * LedgerHomes homes = new LedgerHomes(Ranking.rendezvous(), members);
- * homes.home(key).ifPresent(home -> send(home, reserve));
+ * LedgerHomes replicas = new LedgerHomes(Ranking.rendezvous(), members);
+ * replicas.home(key).ifPresent(primary -> send(primary, reserve));
  * }</pre>
  *
- * <p>The second is the one that becomes home when the first leaves, so a takeover moves no record.
- * Instances are immutable and safe for use by several threads.
+ * <p>The secondary is the daemon that becomes primary when the primary leaves, so a takeover moves
+ * no record. Instances are immutable and safe for use by several threads.
  */
 public final class LedgerHomes {
 
@@ -29,7 +29,10 @@
   private final Map<DaemonId, LedgerMember> members = new TreeMap<>();
   private final Set<LedgerMember> all;
 
-  /** Creates the homes among these members; a later life of the same daemon wins. */
+  /**
+   * Creates the assignment among these members; of several incarnations of a daemon the latest
+   * counts.
+   */
   public LedgerHomes(Ranking ranking, Collection<LedgerMember> members) {
     this.ranking = Objects.requireNonNull(ranking, "ranking");
     for (LedgerMember member : members) {
@@ -39,12 +42,12 @@
     this.all = Collections.unmodifiableSet(new TreeSet<>(this.members.values()));
   }
 
-  /** Returns the member that decides about the key; empty without members. */
+  /** Returns the primary replica, which decides about the key; empty without members. */
   public Optional<LedgerMember> home(IdempotencyKey key) {
     return at(key, 0);
   }
 
-  /** Returns the member that keeps the copy; empty with fewer than two members. */
+  /** Returns the secondary replica, which keeps the copy; empty with fewer than two members. */
   public Optional<LedgerMember> second(IdempotencyKey key) {
     return at(key, 1);
   }
@@ -54,17 +57,17 @@
     return all;
   }
 
-  boolean isHolder(IdempotencyKey key, LedgerMember member) {
-    return holders(key).contains(member);
+  boolean isReplica(IdempotencyKey key, LedgerMember member) {
+    return replicas(key).contains(member);
   }
 
-  boolean holdersAreAmong(IdempotencyKey key, Set<LedgerMember> some) {
-    return some.containsAll(holders(key));
+  boolean replicasAreAmong(IdempotencyKey key, Set<LedgerMember> candidates) {
+    return candidates.containsAll(replicas(key));
   }
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof LedgerHomes homes && members.equals(homes.members);
+    return other instanceof LedgerHomes assignment && members.equals(assignment.members);
   }
 
   @Override
@@ -72,12 +75,12 @@
     return members.hashCode();
   }
 
-  private List<LedgerMember> holders(IdempotencyKey key) {
+  private List<LedgerMember> replicas(IdempotencyKey key) {
     return ranked(key).stream().limit(2).map(members::get).toList();
   }
 
-  private Optional<LedgerMember> at(IdempotencyKey key, int place) {
-    return ranked(key).stream().skip(place).findFirst().map(members::get);
+  private Optional<LedgerMember> at(IdempotencyKey key, int rank) {
+    return ranked(key).stream().skip(rank).findFirst().map(members::get);
   }
 
   private List<DaemonId> ranked(IdempotencyKey key) {
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerMember.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerMember.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * Names one life of a daemon process: a restarted daemon keeps its name, but not its memory.
+ * An incarnation of a daemon: a restarted daemon keeps its name but not its memory.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param daemon the daemon
- * @param incarnation greater for each later start of it
+ * @param incarnation increases with each start of the daemon
  */
 public record LedgerMember(DaemonId daemon, long incarnation) implements Comparable<LedgerMember> {
 
-  /** Checks the daemon. */
+  /** Validates the components. */
   public LedgerMember {
     Objects.requireNonNull(daemon, "daemon");
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerMessage.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerMessage.java
@@ -7,23 +7,23 @@
 import java.util.Set;
 
 /**
- * Is a message about idempotency keys between two daemons.
+ * A message about idempotency keys between two daemons.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
 public sealed interface LedgerMessage {
 
   /**
-   * Entry to home: hold this key for me.
+   * Entry daemon to primary replica: reserves a key.
    *
    * @param key the key
-   * @param digest the digest of the body
+   * @param digest digest of the request body
    * @param holder the reservation
    */
   record Reserve(IdempotencyKey key, String digest, Holder holder) implements LedgerMessage {}
 
   /**
-   * Entry to home: I am about to grant the start.
+   * Entry daemon to primary replica: requests permission to grant the start.
    *
    * @param key the key
    * @param holder the reservation
@@ -31,100 +31,103 @@
   record MarkStart(IdempotencyKey key, Holder holder) implements LedgerMessage {}
 
   /**
-   * Entry to home: this is how it ended. Sent again until it is answered.
+   * Entry daemon to primary replica: reports the outcome. Resent until it is answered.
    *
    * @param key the key
    * @param holder the reservation
-   * @param outcome how it ended; {@code NOT_RUN} only with a {@link NotRunProof} in hand
+   * @param outcome the outcome; {@code NOT_RUN} only with a {@link NotRunProof}
    */
   record Finish(IdempotencyKey key, Holder holder, OutcomeClass outcome) implements LedgerMessage {}
 
-  /** Tells what an answer is to. */
+  /** The message that an {@link Answer} replies to. */
   enum Step {
-    /** To {@link Reserve}. */
+    /** {@link Reserve}. */
     RESERVE,
-    /** To {@link MarkStart}. */
+    /** {@link MarkStart}. */
     MARK_START,
-    /** To {@link Finish}. */
+    /** {@link Finish}. */
     FINISH
   }
 
   /**
-   * Home to entry: done, or why not.
+   * Primary replica to entry daemon: confirms or refuses a step.
    *
    * @param key the key
    * @param holder the reservation
-   * @param step what was asked
-   * @param refusal why not, or empty
+   * @param step the step that is answered
+   * @param refusal the reason of a refusal, or empty
    */
   record Answer(IdempotencyKey key, Holder holder, Step step, Optional<ErrorKind> refusal)
       implements LedgerMessage {}
 
   /**
-   * Home to the entry that holds a key: how does it stand? Sent only when another asks for the key,
-   * so that requests with keys of their own cost no message more.
+   * Primary replica to the entry daemon that holds a key: queries whether the holder has ended.
+   * Sent only when another request uses the key, so that requests with distinct keys cost no extra
+   * message.
    *
    * @param key the key
-   * @param holder the reservation that has the key
-   * @param asker the reservation that wants it
+   * @param holder the reservation that holds the key
+   * @param asker the reservation that requests the key
    */
   record AskHolder(IdempotencyKey key, Holder holder, Holder asker) implements LedgerMessage {}
 
   /**
-   * Entry to home, to {@link AskHolder}: it has not ended. One that has ended is answered by {@link
-   * Finish}.
+   * Entry daemon to primary replica, in reply to {@link AskHolder}: the holder has not ended. A
+   * holder that has ended is reported with {@link Finish}.
    *
    * @param key the key
-   * @param holder the reservation that has the key
-   * @param asker the reservation that was asked for; the answer for an earlier one may be out of
-   *     date
+   * @param holder the reservation that holds the key
+   * @param asker the reservation named in the query; a reply for an earlier reservation may be out
+   *     of date
    */
   record StillOpen(IdempotencyKey key, Holder holder, Holder asker) implements LedgerMessage {}
 
   /**
-   * Home to second: keep this copy.
+   * Primary to secondary replica: store this copy.
    *
    * @param record the record
    */
   record Copy(LedgerRecord record) implements LedgerMessage {}
 
   /**
-   * Second to home: the copy is kept.
+   * Secondary to primary replica: the copy is stored.
    *
-   * @param by the life that keeps it
+   * @param by the incarnation that stored it
    * @param key the key
-   * @param sequence the sequence of the copy
+   * @param sequence sequence number of the copy
    */
   record Copied(LedgerMember by, IdempotencyKey key, long sequence) implements LedgerMessage {}
 
   /**
-   * New member to every other: I am a member; send me what you know of the keys that are mine, and
-   * decide about them no longer.
+   * New member to every other member: requests the records of the keys that it is a replica of, and
+   * that the receiver stop deciding about them.
    *
-   * @param by the asking life
+   * @param by the requesting incarnation
    * @param view the version of the membership that it acts on
    */
   record AskRecords(LedgerMember by, long view) implements LedgerMessage {}
 
   /**
-   * Answer to {@link AskRecords}.
+   * Reply to {@link AskRecords}.
    *
-   * @param by the answering life
-   * @param view the version that was asked with
-   * @param records the records whose home or second the asker is
-   * @param lost the losses that may have taken records along
-   * @param seasoned whether the answering life knows of the time before the asker's start
+   * @param by the replying incarnation
+   * @param view the membership version of the request
+   * @param records the records that the requester is a replica of
+   * @param lost the replica losses that may have removed records
+   * @param seasoned whether the replying incarnation can have missed no record from before the
+   *     requester's start
    */
   record Records(
       LedgerMember by, long view, List<LedgerRecord> records, List<Loss> lost, boolean seasoned)
       implements LedgerMessage {}
 
   /**
-   * Tells that several members left so close together that both holders of a key may be gone.
+   * A replica loss: several members left so close together that both replicas of a key may have
+   * failed.
    *
-   * @param before the members before
-   * @param left those that left
-   * @param remainingMillis how long keys of theirs have to be refused yet
+   * @param before the members before the loss
+   * @param left the members that left
+   * @param remainingMillis how much longer to refuse the affected keys, in milliseconds
    */
   record Loss(Set<LedgerMember> before, Set<LedgerMember> left, long remainingMillis) {}
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerRecord.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerRecord.java
@@ -5,16 +5,18 @@
 import java.util.Objects;
 
 /**
- * Is what a home knows of one idempotency key, as it is copied between daemons.
+ * Replicated record of one idempotency key.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param key the key
- * @param digest a digest of the request's body, so that a key with another body is told apart
- * @param holder who reserved it
- * @param state what is known
- * @param sequence grows with each change; a higher one is newer on whichever daemon it is
- * @param expiresInMillis how long it has to be kept yet; a span, since clocks are not compared
+ * @param digest digest of the request body, which detects reuse of the key with another body
+ * @param holder the reservation that holds the key
+ * @param state the state of the key's work
+ * @param sequence increases with each change; the record with the higher one is newer, on any
+ *     daemon
+ * @param expiresInMillis remaining retention in milliseconds; relative, since the daemons' clocks
+ *     are not comparable
  */
 public record LedgerRecord(
     IdempotencyKey key,
@@ -25,22 +27,23 @@
     long expiresInMillis) {
 
   /**
-   * Names one reservation. The entry makes the operation up for each request: a caller's own
-   * request id would make two requests with the same id one holder, and both would start.
+   * Identifies a reservation. The entry daemon generates the operation id for each request: with
+   * the caller's request id, two requests with the same id would be one holder, and both would
+   * start.
    *
-   * @param entry the entry's life
-   * @param operation unique among the operations of that life
+   * @param entry the incarnation of the entry daemon
+   * @param operation unique among the operations of that incarnation
    */
   public record Holder(LedgerMember entry, OperationId operation) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Holder {
       Objects.requireNonNull(entry, "entry");
       Objects.requireNonNull(operation, "operation");
     }
   }
 
-  /** Checks the parts. */
+  /** Validates the components. */
   public LedgerRecord {
     Objects.requireNonNull(key, "key");
     Objects.requireNonNull(digest, "digest");
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerSend.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerSend.java
@@ -3,7 +3,8 @@
 import io.sequoiapass.coordination.DaemonId;
 
 /**
- * Is a message that a {@link Ledger} wants sent; one to its own daemon is handed back to it.
+ * An outgoing message of a {@link Ledger}; a message to its own daemon is passed back to the
+ * ledger.
  *
  * @param to the receiver
  * @param message the message
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerState.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerState.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination.request;
 
 /**
- * Tells what is known of the work of one idempotency key.
+ * State of the work of one idempotency key.
  *
  * <p>Safe for use by several threads.
  */
 public enum LedgerState {
-  /** An entry holds the key and has not been let start. */
+  /** An entry daemon holds the key and has not been permitted to start. */
   RESERVED,
 
-  /** An entry was let start. */
+  /** An entry daemon was permitted to start. */
   STARTED,
 
   /** It ran and was answered. */
@@ -18,16 +18,16 @@
   /** It may have run. */
   UNKNOWN,
 
-  /** It is proved that it did not run: the key is free. */
+  /** It is proved that it did not run; the key is free. */
   RELEASED;
 
-  /** Returns what another request with the key is told; not for {@code RELEASED}. */
+  /** Returns the error sent to another request with the key; fails for {@code RELEASED}. */
   ErrorKind refusal() {
     return switch (this) {
       case RESERVED, STARTED -> ErrorKind.KEY_IN_PROGRESS;
       case ANSWERED -> ErrorKind.KEY_ALREADY_RAN;
       case UNKNOWN -> ErrorKind.KEY_OUTCOME_UNKNOWN;
-      case RELEASED -> throw new IllegalStateException("a released key refuses nobody");
+      case RELEASED -> throw new IllegalStateException("a released key has no refusal");
     };
   }
 
@@ -36,15 +36,15 @@
   }
 
   /**
-   * Returns whether the holder's word of its outcome changes this state. What ran stays run, and
-   * what was released was proved not to have started; a late message undoes neither.
+   * Returns whether an outcome reported by the holder replaces this state. A run cannot be undone,
+   * and a released key was proved not to have started; a late message changes neither.
    */
-  boolean yieldsTo(LedgerState outcome) {
+  boolean isReplacedBy(LedgerState outcome) {
     return isOpen() || (this == UNKNOWN && outcome != UNKNOWN);
   }
 
-  /** Returns the state that an outcome leaves. */
-  static LedgerState after(OutcomeClass outcome) {
+  /** Returns the state that results from an outcome. */
+  static LedgerState ofOutcome(OutcomeClass outcome) {
     return switch (outcome) {
       case ANSWERED -> ANSWERED;
       case NOT_RUN -> RELEASED;
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerView.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerView.java
@@ -5,20 +5,20 @@
 import java.util.TreeSet;
 
 /**
- * Is the membership of the daemons that keep ledgers, as the platform's leases tell it.
+ * Membership of the daemons that keep ledgers, derived from the platform's leases.
  *
- * <p>It must never come from whom a daemon can reach: two sides of a cut would each name a home of
- * their own. Instances are immutable and safe for use by several threads.
+ * <p>It must never be derived from the reachability of daemons: both sides of a partition would
+ * each select a primary replica. Instances are immutable and safe for use by several threads.
  *
- * @param version grows with each membership
+ * @param version increases with each membership change
  * @param members the members
  */
 public record LedgerView(long version, Set<LedgerMember> members) {
 
   /** Copies the members. */
   public LedgerView {
-    // In order, so that the same events make the same messages: Set.copyOf shuffles in each
-    // process.
+    // Sorted, so that the same events produce the same messages: the order of Set.copyOf differs
+    // between processes.
     members = Collections.unmodifiableSet(new TreeSet<>(members));
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/Outcome.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/Outcome.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 
 /**
- * Tells how a request ended: with its answer, proved not run, or unknown.
+ * Outcome of a request: answered, proved not run, or unknown.
  *
  * <pre>{@code
  * Outcome outcome = Outcome.notRun(ErrorKind.DRAINING, NotRunProof.neverLeftEntry());
@@ -17,52 +17,56 @@
  */
 public sealed interface Outcome {
 
-  /** Returns the class that the caller is told. */
+  /** Returns the outcome class sent to the caller. */
   OutcomeClass outcomeClass();
 
   /** Returns the error, or empty for an answer. */
   Optional<ErrorKind> error();
 
-  /** Returns when to come back, in milliseconds, or empty if no time is due. */
+  /** Returns the retry time in milliseconds, or empty if there is none. */
   default OptionalLong comeBackMillis() {
     return OptionalLong.empty();
   }
 
   /**
-   * Returns a NOT RUN with its kind's own come-back time.
+   * Returns a NOT RUN with the default retry time of its kind.
    *
    * @param kind a kind of the class {@code NOT_RUN}
-   * @param proof why it cannot have run
+   * @param proof the proof that it did not run
    */
   static NotRun notRun(ErrorKind kind, NotRunProof proof) {
     return new NotRun(kind, proof, kind.comeBackMillis());
   }
 
   /**
-   * Returns a NOT RUN with a come-back time that was worked out.
+   * Returns a NOT RUN with a given retry time.
    *
    * @param kind a kind of the class {@code NOT_RUN}
-   * @param proof why it cannot have run
-   * @param comeBackMillis when to come back
+   * @param proof the proof that it did not run
+   * @param comeBackMillis when to retry, in milliseconds
    */
   static NotRun notRun(ErrorKind kind, NotRunProof proof, long comeBackMillis) {
     return new NotRun(kind, proof, OptionalLong.of(comeBackMillis));
   }
 
-  /** Returns an UNKNOWN of a kind of that class. */
+  /**
+   * Returns an UNKNOWN.
+   *
+   * @param kind a kind of the class {@code UNKNOWN}
+   */
   static Unknown unknown(ErrorKind kind) {
     return new Unknown(kind);
   }
 
   /**
-   * The whole answer was handed on.
+   * The complete answer was delivered.
    *
    * @param ranOn the adapter and version, or empty for a plain service
-   * @param tokens the tokens of the answer, zero for a plain service
+   * @param tokens the number of tokens of the answer, zero for a plain service
    */
   record Answered(Optional<AdapterVersion> ranOn, int tokens) implements Outcome {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Answered {
       Objects.requireNonNull(ranOn, "ranOn");
       if (tokens < 0) {
@@ -84,13 +88,13 @@
   /**
    * It is proved that the request did not run.
    *
-   * @param kind why it was refused
-   * @param proof why it cannot have run
-   * @param comeBackMillis when to come back, or empty
+   * @param kind the reason of the refusal
+   * @param proof the proof that it did not run
+   * @param comeBackMillis when to retry, in milliseconds, or empty
    */
   record NotRun(ErrorKind kind, NotRunProof proof, OptionalLong comeBackMillis) implements Outcome {
 
-    /** Checks the kind and that there is a proof. */
+    /** Validates the kind and the proof. */
     public NotRun {
       Objects.requireNonNull(proof, "proof");
       Objects.requireNonNull(comeBackMillis, "comeBackMillis");
@@ -111,11 +115,11 @@
   /**
    * The request may have run.
    *
-   * @param kind what went wrong
+   * @param kind the error
    */
   record Unknown(ErrorKind kind) implements Outcome {
 
-    /** Checks the kind. */
+    /** Validates the kind. */
     public Unknown {
       checkClass(kind, OutcomeClass.UNKNOWN);
     }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/OutcomeClass.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/OutcomeClass.java
@@ -1,12 +1,12 @@
 package io.sequoiapass.coordination.request;
 
 /**
- * Names the three ways in which a request ends, as the answer's {@code Outcome} header says them.
+ * Outcome classes of a request, as sent in the {@code Outcome} header of the answer.
  *
  * <p>Safe for use by several threads.
  */
 public enum OutcomeClass {
-  /** The whole answer was handed on. */
+  /** The complete answer was delivered. */
   ANSWERED,
 
   /** It is proved that the request did not run. */
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/OutcomeException.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/OutcomeException.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * Ends a request before its answer, with the outcome that the caller is told.
+ * Thrown to end a request without an answer, with the outcome to send to the caller.
  *
  * <pre>{@code
  * throw OutcomeException.refused(ErrorKind.UNKNOWN_ADAPTER, name);
@@ -21,22 +21,22 @@
    * Creates an exception.
    *
    * @param outcome a NOT RUN or an UNKNOWN
-   * @param detail what helps the caller, such as the offending value
+   * @param detail information for the caller, such as the offending value
    */
   public OutcomeException(Outcome outcome, String detail) {
     super(Objects.requireNonNull(detail, "detail"));
     if (outcome.error().isEmpty()) {
-      throw new IllegalArgumentException("an answer is no error: " + outcome);
+      throw new IllegalArgumentException("outcome is not an error: " + outcome);
     }
     this.outcome = outcome;
   }
 
-  /** Returns the refusal of a request that has not left the entry. */
+  /** Returns the exception for a request that was refused before it left the entry daemon. */
   public static OutcomeException refused(ErrorKind kind, String detail) {
     return new OutcomeException(Outcome.notRun(kind, NotRunProof.neverLeftEntry()), detail);
   }
 
-  /** Returns how the request ended. */
+  /** Returns the outcome of the request. */
   public Outcome outcome() {
     return outcome;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/Priority.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/Priority.java
@@ -1,7 +1,7 @@
 package io.sequoiapass.coordination.request;
 
 /**
- * Orders requests under load: a lower rank is served first and shed last.
+ * Request priorities: a lower rank is served first and shed last.
  *
  * <pre>{@code
  * if (arriving.outranks(queued)) {
@@ -12,13 +12,13 @@
  * <p>Safe for use by several threads.
  */
 public enum Priority {
-  /** Somebody's procedure waits on a fixed hour; may be hedged. */
+  /** Work that a procedure with a fixed time depends on; may be hedged. */
   DEADLINE(0, true),
 
-  /** A person waits for the answer. */
+  /** Work that a person is waiting for. */
   INTERACTIVE(1, false),
 
-  /** Nobody waits; takes what the others leave. */
+  /** Work that nobody is waiting for; uses the remaining capacity. */
   BATCH(2, false);
 
   private final int rank;
@@ -29,17 +29,17 @@
     this.hedged = hedged;
   }
 
-  /** Returns the place in the order of service; zero goes first. */
+  /** Returns the position in the order of service; zero is served first. */
   public int rank() {
     return rank;
   }
 
-  /** Returns whether a second attempt may be sent before the first one failed. */
+  /** Returns whether a second attempt may be sent before the first one has failed. */
   public boolean hedged() {
     return hedged;
   }
 
-  /** Returns whether this is served before the other. */
+  /** Returns whether this priority is served before the other. */
   public boolean outranks(Priority other) {
     return rank < other.rank;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/Ranking.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/Ranking.java
@@ -8,7 +8,7 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Orders daemons for a key, the same way on every daemon and without a message.
+ * Orders daemons for a key, identically on every daemon and without communication.
  *
  * <pre>{@code
  * List<DaemonId> order = Ranking.rendezvous().rank("slip-17", members);
@@ -19,7 +19,10 @@
 @FunctionalInterface
 public interface Ranking {
 
-  /** Returns the members, best first; the order of two never depends on the others. */
+  /**
+   * Returns the members in descending preference; the relative order of two members is independent
+   * of the others.
+   */
   List<DaemonId> rank(String key, Collection<DaemonId> members);
 
   /** Returns rendezvous hashing with equal weights. */
@@ -33,7 +36,7 @@
   }
 
   /**
-   * Is a member with its score for one key, so that sorting does not hash it over and over.
+   * A member with its score for one key, which avoids hashing it repeatedly while sorting.
    *
    * @param score the score
    * @param daemon the member
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/Repeatability.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/Repeatability.java
@@ -1,21 +1,21 @@
 package io.sequoiapass.coordination.request;
 
 /**
- * Tells whether a request may run a second time after an attempt whose result is not known.
+ * Whether a request may run again after an attempt with an unknown result.
  *
  * <pre>{@code
  * if (repeatability.needsStartGrant()) {
- *   askEntry();
+ *   requestStartGrant();
  * }
  * }</pre>
  *
  * <p>Safe for use by several threads.
  */
 public enum Repeatability {
-  /** A second run costs time and nothing else: completions, searches. */
+  /** A second run only costs time, as for completions and searches. */
   REPEATABLE(false),
 
-  /** A second run does harm: payment slips, billed lookups. */
+  /** A second run is harmful, as for payment slips and billed lookups. */
   AT_MOST_ONCE(true);
 
   private final boolean needsStartGrant;
@@ -24,7 +24,10 @@
     this.needsStartGrant = needsStartGrant;
   }
 
-  /** Returns whether the owner has to ask the entry right before it writes to the endpoint. */
+  /**
+   * Returns whether the owner must request a grant from the entry daemon directly before it writes
+   * to the endpoint.
+   */
   public boolean needsStartGrant() {
     return needsStartGrant;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/RequestAttempts.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/RequestAttempts.java
@@ -12,7 +12,8 @@
 import java.util.Set;
 
 /**
- * Decides, at the entry, everything about the attempts of one request until its outcome.
+ * State machine of the attempts of one request, from the first attempt to the outcome; runs on the
+ * entry daemon.
  *
  * <pre>{@code
  * RequestAttempts attempts = new RequestAttempts(spec, settings, budget, Optional.empty());
@@ -20,10 +21,10 @@
  * perform(attempts.on(new AttemptEvent.OwnerLost(1), clock.millis()));
  * }</pre>
  *
- * <p>It ends exactly once. Work that may not be repeated is granted its start once, and is sent
- * again only where a proof says that the granted attempt did not run. Repeatable work moves
- * elsewhere inside its deadline and under the retry budget, and goes on behind the tokens that the
- * caller has. Driven under the lock of one shard; not safe for use by several threads.
+ * <p>A request ends exactly once. At-most-once work is granted its start once, and is sent again
+ * only with proof that the granted attempt did not run. Repeatable work is retried on other
+ * endpoints within its deadline and the retry budget, and resumes after the tokens that the caller
+ * has received. Guarded by the lock of one shard; not safe for use by several threads.
  */
 public final class RequestAttempts {
 
@@ -48,18 +49,18 @@
   private long hedgeAt = NEVER;
   private long gapAt = NEVER;
   private long stallAt = NEVER;
-  private long moveAt = NEVER;
-  private Attempt moved;
-  private int moves;
-  private int ownerless;
+  private long resendAt = NEVER;
+  private Attempt resendAttempt;
+  private int moveCount;
+  private int ownerlessAttempts;
 
   /**
-   * Creates the attempts of one request; nothing is sent yet.
+   * Creates the attempts of one request; sends nothing.
    *
    * @param spec the request
    * @param settings the limits
-   * @param budget shared by all requests of a shard
-   * @param hedging when to hedge, or empty for never
+   * @param budget the retry budget, shared by all requests of a shard
+   * @param hedging the hedging policy, or empty for no hedging
    */
   public RequestAttempts(
       RequestSpec spec,
@@ -70,13 +71,13 @@
     this.settings = Objects.requireNonNull(settings, "settings");
     this.budget = Objects.requireNonNull(budget, "budget");
     this.hedging = Objects.requireNonNull(hedging, "hedging");
-    this.answer = new AnswerAssembler(spec.id(), spec.runsOn(), settings.maxHeldTokens());
+    this.answer = new AnswerAssembler(spec.id(), spec.runsOn(), settings.maxBufferedTokens());
   }
 
   /** Sends the first attempt. */
   public List<AttemptAction> begin(long nowMillis) {
     if (!attempts.isEmpty()) {
-      throw new IllegalStateException("already begun: " + spec.id());
+      throw new IllegalStateException("attempts already started: " + spec.id());
     }
     budget.requestArrived();
     if (nowMillis >= spec.deadlineMillis()) {
@@ -88,7 +89,7 @@
     return takeActions();
   }
 
-  /** Takes an event and returns what to do, in order. */
+  /** Handles an event and returns the resulting actions, in order. */
   public List<AttemptAction> on(AttemptEvent event, long nowMillis) {
     if (ended) {
       afterEnd(event);
@@ -101,15 +102,15 @@
     return takeActions();
   }
 
-  /** Returns when a {@link AttemptEvent.Tick} is due next. */
+  /** Returns when the next {@link AttemptEvent.Tick} is due. */
   public long nextTickMillis() {
     return ended
         ? NEVER
         : Math.min(
-            Math.min(spec.deadlineMillis(), moveAt), Math.min(hedgeAt, Math.min(gapAt, stallAt)));
+            Math.min(spec.deadlineMillis(), resendAt), Math.min(hedgeAt, Math.min(gapAt, stallAt)));
   }
 
-  /** Returns whether the outcome was given. */
+  /** Returns whether the outcome was determined. */
   public boolean hasEnded() {
     return ended;
   }
@@ -131,13 +132,13 @@
     } else if (event instanceof AttemptEvent.Unroutable unroutable) {
       open(unroutable.attempt())
           .ifPresent(attempt -> unroutable(attempt, unroutable.kind(), nowMillis));
-    } else if (event instanceof AttemptEvent.StartAsked asked) {
-      startAsked(asked.attempt());
+    } else if (event instanceof AttemptEvent.StartAsked request) {
+      startRequested(request.attempt());
     } else if (event instanceof AttemptEvent.StartRecorded recorded) {
-      open(recorded.attempt()).filter(Attempt::recordsStart).ifPresent(this::grant);
+      open(recorded.attempt()).filter(Attempt::isRecordingStart).ifPresent(this::grant);
     } else if (event instanceof AttemptEvent.StartRefused refused) {
       open(refused.attempt())
-          .filter(Attempt::recordsStart)
+          .filter(Attempt::isRecordingStart)
           .ifPresent(attempt -> startRefused(attempt, refused.kind()));
     } else if (event instanceof AttemptEvent.Refused refused) {
       open(refused.attempt()).ifPresent(attempt -> refused(attempt, refused, nowMillis));
@@ -146,8 +147,8 @@
     } else if (event instanceof AttemptEvent.EndpointLost lost) {
       open(lost.attempt())
           .ifPresent(attempt -> endpointLost(attempt, ErrorKind.ENDPOINT_LOST_AFTER_START));
-    } else if (event instanceof AttemptEvent.Flow flow) {
-      flow(flow.paused(), nowMillis);
+    } else if (event instanceof AttemptEvent.Flow change) {
+      updateFlow(change.paused(), nowMillis);
     } else if (event instanceof AttemptEvent.CallerLeft) {
       callerLeft();
     } else {
@@ -155,27 +156,28 @@
     }
   }
 
-  /** An owner that still waits must be told no, and a copy that got away must be dropped. */
+  /** Denies start requests and cancels attempts that arrive after the end. */
   private void afterEnd(AttemptEvent event) {
-    if (event instanceof AttemptEvent.StartAsked asked) {
-      actions.add(new AttemptAction.DenyStart(asked.attempt()));
+    if (event instanceof AttemptEvent.StartAsked request) {
+      actions.add(new AttemptAction.DenyStart(request.attempt()));
     } else if (event instanceof AttemptEvent.Routed routed) {
       actions.add(new AttemptAction.Cancel(routed.attempt()));
     }
   }
 
-  // The start.
+  // Start of the work.
 
-  private void startAsked(int number) {
-    Optional<Attempt> asking = open(number).filter(Attempt::mayRun);
-    if (asking.isEmpty()) {
-      // An attempt that was given up on has been counted as not run, or moved; its owner may ask
-      // late. A yes here would run the request twice, so a closed attempt never gets one.
+  private void startRequested(int number) {
+    Optional<Attempt> requesting = open(number).filter(Attempt::mayRun);
+    if (requesting.isEmpty()) {
+      // An attempt that timed out has been counted as not run, or was moved, and its owner may
+      // still request the start. Granting it would run the request twice, so a closed attempt is
+      // always denied.
       actions.add(new AttemptAction.DenyStart(number));
       return;
     }
-    Attempt attempt = asking.get();
-    attempt.heard();
+    Attempt attempt = requesting.get();
+    attempt.markResponded();
     if (!attempt.awaitsGrant()) {
       return;
     }
@@ -203,7 +205,7 @@
     }
   }
 
-  // The answer.
+  // Answer.
 
   private void frame(AnswerFrame frame, long nowMillis) {
     Optional<Attempt> sender = open(frame.attempt());
@@ -211,23 +213,23 @@
       return;
     }
     Attempt attempt = sender.get();
-    attempt.produced();
+    attempt.markProducedTokens();
     if (source == NO_SOURCE) {
       takeAsSource(attempt);
     }
     switch (answer.accept(frame)) {
-      case TAKEN, HELD -> progress(nowMillis);
-      case MISMATCH -> giveUp(attempt, ErrorKind.ANSWER_MISMATCH);
-      case OVERFLOW -> giveUp(attempt, ErrorKind.STREAM_SHORT);
+      case ACCEPTED, BUFFERED -> deliverReady(nowMillis);
+      case MISMATCH -> abandon(attempt, ErrorKind.ANSWER_MISMATCH);
+      case OVERFLOW -> abandon(attempt, ErrorKind.STREAM_SHORT);
       default -> {
-        // DOUBLED or STRAY: nothing is missing and nothing is new.
+        // DUPLICATE or UNEXPECTED: nothing new and nothing missing.
       }
     }
   }
 
   private void takeAsSource(Attempt attempt) {
     source = attempt.number();
-    answer.source(source);
+    answer.selectAttempt(source);
     hedgeAt = NEVER;
     for (Attempt other : attempts) {
       if (other.isOpen() && other != attempt) {
@@ -237,7 +239,7 @@
     }
   }
 
-  private void progress(long nowMillis) {
+  private void deliverReady(long nowMillis) {
     List<AnswerFrame.Token> ready = answer.drain();
     if (!callerLeft) {
       ready.forEach(token -> actions.add(new AttemptAction.Deliver(token)));
@@ -248,18 +250,18 @@
     } else if (gapAt == NEVER || !ready.isEmpty()) {
       gapAt = nowMillis + settings.gapMillis();
     }
-    if (answer.isWhole()) {
-      end(new Outcome.Answered(spec.runsOn(), answer.next()));
+    if (answer.isComplete()) {
+      end(new Outcome.Answered(spec.runsOn(), answer.nextIndex()));
     }
   }
 
   /**
-   * Stops the timers while the owner was told to stop reading, and starts them anew after it. A
-   * silence that the caller made itself would be taken for a frozen owner: the stream would be
-   * given up and run again, once for each time that the caller reads slowly.
+   * Stops the timers while the owner has been requested to stop reading, and restarts them
+   * afterwards. Otherwise a silence caused by the caller would be taken for a frozen owner, and the
+   * stream would be abandoned and run again each time that the caller reads slowly.
    */
-  private void flow(boolean nowPaused, long nowMillis) {
-    paused = nowPaused;
+  private void updateFlow(boolean newPaused, long nowMillis) {
+    paused = newPaused;
     boolean streaming = source != NO_SOURCE && open(source).isPresent();
     stallAt = paused || !streaming ? NEVER : nowMillis + settings.stallMillis();
     gapAt = paused || !streaming || !answer.hasGap() ? NEVER : nowMillis + settings.gapMillis();
@@ -274,25 +276,25 @@
       return;
     }
     if (attempt.number() > 1) {
-      // The owner that had it is gone, and the next one comes when its lease has lapsed. Ending now
-      // would take a half-read answer from a caller who has time; nothing is sent meanwhile, so it
-      // costs neither budget nor attempts.
-      ownerless++;
-      moved = attempt;
-      moveAt = nowMillis + settings.ownerPauseMillis();
+      // The previous owner has failed, and its successor takes over when the lease has expired.
+      // Ending the request here would cut off a partly delivered answer although the caller has
+      // time left; nothing is sent meanwhile, so neither budget nor attempts are used.
+      ownerlessAttempts++;
+      resendAttempt = attempt;
+      resendAt = nowMillis + settings.ownerPauseMillis();
     } else {
       endFailed();
     }
   }
 
   private void refused(Attempt attempt, AttemptEvent.Refused refused, long nowMillis) {
-    // A refusal that contradicts tokens or our own grant proves nothing: its frame is wrong, or
-    // the owner is. Taking it for a proof would tell a caller NOT RUN about work that ran.
+    // A refusal that contradicts received tokens or a grant of this daemon proves nothing: the
+    // frame or the owner is faulty. Accepting it as proof would report NOT RUN for work that ran.
     boolean ownersProof =
         refused.proof().situation() == NotRunProof.Situation.WITHDRAWN_FROM_QUEUE
             || refused.proof().situation() == NotRunProof.Situation.REFUSED_BY_ENDPOINT;
     if (!ownersProof
-        || attempt.hasProduced()
+        || attempt.hasProducedTokens()
         || refused.kind().outcomeClass() != OutcomeClass.NOT_RUN) {
       endpointLost(attempt, ErrorKind.ENDPOINT_LOST_AFTER_START);
       return;
@@ -301,7 +303,7 @@
     lastNotRun = refused.kind();
     comeBackMillis = refused.comeBackMillis();
     if (refused.kind() == ErrorKind.DEADLINE_PASSED) {
-      // No endpoint begins it in what is left; other attempts would end in the same way.
+      // No endpoint would start it in the time left; other attempts would end the same way.
       if (!anyOpen()) {
         endFailed();
       }
@@ -310,7 +312,7 @@
     boolean isMove =
         refused.kind() == ErrorKind.DRAINING
             && refused.proof().situation() == NotRunProof.Situation.WITHDRAWN_FROM_QUEUE;
-    if (isMove && moves < settings.maxMoves()) {
+    if (isMove && moveCount < settings.maxMoves()) {
       move(attempt, nowMillis);
       return;
     }
@@ -319,24 +321,25 @@
   }
 
   /**
-   * Goes on after the endpoint's owner changed as planned. Counting that as a failure would use up
-   * the attempts and the budget in a rolling restart, and a caller would be refused although no
-   * endpoint is missing; avoiding the endpoint would lose the adapter that is loaded there. The
-   * pause and the bound on moves keep two owners with different tables from playing ping-pong.
+   * Continues after a planned change of the endpoint's owner. Counting it as a failure would use up
+   * the attempts and the budget in a rolling restart, and the caller would be refused although no
+   * endpoint is missing; avoiding the endpoint would lose the adapter loaded there. The pause and
+   * the bound on moves keep two owners with different tables from passing the request back and
+   * forth.
    */
   private void move(Attempt attempt, long nowMillis) {
-    moves++;
+    moveCount++;
     if (!anyOpen()) {
-      moved = attempt;
-      moveAt = nowMillis + settings.movePauseMillis();
+      resendAttempt = attempt;
+      resendAt = nowMillis + settings.movePauseMillis();
     }
   }
 
-  private void sendMoved() {
-    moveAt = NEVER;
+  private void resend() {
+    resendAt = NEVER;
     if (!anyOpen()) {
-      boolean attaches = moved.mode() != Mode.RUN;
-      send(moved.mode(), attaches ? moved.streamAt() : Optional.empty());
+      boolean attaches = resendAttempt.mode() != Mode.RUN;
+      send(resendAttempt.mode(), attaches ? resendAttempt.streamEndpoint() : Optional.empty());
     }
   }
 
@@ -345,8 +348,9 @@
     if (anyOpen()) {
       return;
     }
-    if (!attempt.wasHeard() && attempt.mode() == Mode.RUN && mayRunAgain()) {
-      // Nothing to read on: elsewhere it starts now, here only once the next owner is known.
+    if (!attempt.hasResponded() && attempt.mode() == Mode.RUN && mayRunAgain()) {
+      // There is no stream to resume. Another endpoint can start immediately, this one only once
+      // its next owner is known.
       attempt.endpoint().ifPresent(avoid::add);
       runAgain(Mode.RUN, Optional.empty(), RetryBudget.Use.OWNER_LOST);
       return;
@@ -356,7 +360,7 @@
       runAgain(
           attachable ? Mode.ATTACH_OR_RUN : Mode.RUN, attempt.endpoint(), RetryBudget.Use.RETRY);
     } else if (attachable && countedAttempts() < settings.maxAttempts()) {
-      // The engine keeps the stream for a while: reading on is not running again.
+      // The engine keeps the stream for a while; resuming it does not run the work again.
       send(Mode.ATTACH_ONLY, attempt.endpoint());
     } else {
       endFailed();
@@ -369,19 +373,19 @@
     runElsewhere();
   }
 
-  private void giveUp(Attempt attempt, ErrorKind kind) {
+  private void abandon(Attempt attempt, ErrorKind kind) {
     actions.add(new AttemptAction.Cancel(attempt.number()));
     endpointLost(attempt, kind);
   }
 
   private void close(Attempt attempt, ErrorKind unknownKind) {
     if (spec.repeatability().needsStartGrant() && attempt.mayRun() && !attempt.everGranted()) {
-      // Its owner needs a yes that a closed attempt never gets.
+      // The owner cannot start without a grant, and a closed attempt is never granted.
       attempt.closeNotRun(NotRunProof.startNotGranted());
       lastNotRun = ErrorKind.ENDPOINT_LOST_BEFORE_START;
     } else {
       attempt.closeUnresolved();
-      noteUnknown(unknownKind);
+      recordUnknown(unknownKind);
     }
     if (source == attempt.number()) {
       source = NO_SOURCE;
@@ -390,7 +394,7 @@
     }
   }
 
-  private void noteUnknown(ErrorKind kind) {
+  private void recordUnknown(ErrorKind kind) {
     if (firstUnknown == null) {
       firstUnknown = kind;
     }
@@ -407,9 +411,9 @@
     }
   }
 
-  private void runAgain(Mode mode, Optional<EndpointId> prefer, RetryBudget.Use why) {
-    boolean resumes = answer.next() > 0;
-    RetryBudget.Use use = resumes ? RetryBudget.Use.RESUME : why;
+  private void runAgain(Mode mode, Optional<EndpointId> prefer, RetryBudget.Use purpose) {
+    boolean resumes = answer.nextIndex() > 0;
+    RetryBudget.Use use = resumes ? RetryBudget.Use.RESUME : purpose;
     if ((resumes && !spec.resumable())
         || countedAttempts() >= settings.maxAttempts()
         || !budget.take(use)) {
@@ -420,22 +424,22 @@
   }
 
   private int countedAttempts() {
-    return attempts.size() - moves - ownerless;
+    return attempts.size() - moveCount - ownerlessAttempts;
   }
 
   private boolean mayRunAgain() {
     return spec.repeatability().mayRunAgain() || attempts.stream().noneMatch(Attempt::isUnresolved);
   }
 
-  // Time and the caller.
+  // Timers and the caller.
 
   private void tick(long nowMillis) {
-    if (nowMillis >= moveAt) {
-      sendMoved();
+    if (nowMillis >= resendAt) {
+      resend();
     } else if (nowMillis >= gapAt) {
-      open(source).ifPresent(attempt -> giveUp(attempt, ErrorKind.STREAM_SHORT));
+      open(source).ifPresent(attempt -> abandon(attempt, ErrorKind.STREAM_SHORT));
     } else if (nowMillis >= stallAt) {
-      open(source).ifPresent(attempt -> giveUp(attempt, ErrorKind.ENDPOINT_LOST_AFTER_START));
+      open(source).ifPresent(attempt -> abandon(attempt, ErrorKind.ENDPOINT_LOST_AFTER_START));
     } else if (nowMillis >= hedgeAt) {
       hedgeAt = NEVER;
       hedge();
@@ -454,8 +458,9 @@
 
   private void callerLeft() {
     callerLeft = true;
-    if (runsAtMostOnceNow()) {
-      // Half of a payment is worse than a whole one that its caller asks for again by key.
+    if (isAtMostOnceWorkRunning()) {
+      // An interrupted payment is worse than a complete one whose result the caller can query by
+      // key.
       return;
     }
     closeAll(ErrorKind.CALLER_LEFT);
@@ -464,15 +469,15 @@
   }
 
   private void expire() {
-    if (!runsAtMostOnceNow()) {
+    if (!isAtMostOnceWorkRunning()) {
       closeAll(ErrorKind.DEADLINE_PASSED_AFTER_START);
       lastNotRun = ErrorKind.DEADLINE_PASSED;
     }
-    noteUnknown(ErrorKind.DEADLINE_PASSED_AFTER_START);
+    recordUnknown(ErrorKind.DEADLINE_PASSED_AFTER_START);
     endFailed();
   }
 
-  private boolean runsAtMostOnceNow() {
+  private boolean isAtMostOnceWorkRunning() {
     return spec.repeatability().needsStartGrant()
         && attempts.stream()
             .filter(Attempt::isOpen)
@@ -497,14 +502,14 @@
         new AttemptAction.Send(
             attempt.number(),
             mode,
-            answer.next(),
+            answer.nextIndex(),
             prefer,
             Collections.unmodifiableSet(new LinkedHashSet<>(avoid))));
   }
 
   private void endFailed() {
     if (attempts.stream().anyMatch(Attempt::isUnresolved)) {
-      end(Outcome.unknown(answer.next() > 0 ? ErrorKind.STREAM_SHORT : firstUnknown));
+      end(Outcome.unknown(answer.nextIndex() > 0 ? ErrorKind.STREAM_SHORT : firstUnknown));
       return;
     }
     NotRunProof proof =
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/RequestSpec.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/RequestSpec.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 
 /**
- * Holds what one request asks for, as far as its attempts depend on it.
+ * Properties of a request that its attempts depend on.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param id the request
- * @param runsOn the adapter and version that every frame has to name; empty for a plain service
+ * @param runsOn the adapter and version that every frame must name; empty for a plain service
  * @param repeatability whether it may run twice
  * @param priority its priority
- * @param keyed whether its start has to be recorded at the home of its idempotency key
- * @param resumable whether an answer can go on at a token offset; true for engines
- * @param deadlineMillis when the answer is due, on the entry's monotonic clock
+ * @param keyed whether the primary replica of its idempotency key must record the start
+ * @param resumable whether an answer can resume at a token offset; true for engines
+ * @param deadlineMillis when the answer is due, on the monotonic clock of the entry daemon
  */
 public record RequestSpec(
     RequestId id,
@@ -27,7 +27,7 @@
     boolean resumable,
     long deadlineMillis) {
 
-  /** Checks the parts. */
+  /** Validates the components. */
   public RequestSpec {
     Objects.requireNonNull(id, "id");
     Objects.requireNonNull(runsOn, "runsOn");
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/RetryBudget.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/RetryBudget.java
@@ -1,8 +1,8 @@
 package io.sequoiapass.coordination.request;
 
 /**
- * Limits the attempts beyond the first to a share of the requests, so that failures of many
- * endpoints at once cannot multiply the load on those that are left.
+ * Token bucket that limits retries and hedges to a fraction of the requests, so that failures of
+ * many endpoints cannot multiply the load on the remaining ones.
  *
  * <pre>{@code
  * RetryBudget budget = new RetryBudget(0.1, 20);
@@ -12,32 +12,34 @@
  * }
  * }</pre>
  *
- * <p>One budget serves all requests of a shard, under that shard's lock; not safe for use by
- * several threads.
+ * <p>All requests of a shard share one budget, guarded by the lock of the shard; not safe for use
+ * by several threads.
  */
 public final class RetryBudget {
 
-  /** Tells what a further attempt is for: the less is lost without it, the more has to be left. */
+  /** Purpose of an additional attempt; the less is lost without it, the more budget must remain. */
   public enum Use {
-    /** A second copy of work that has not failed; only from a budget that is half full. */
+    /** A second copy of work that has not failed; needs a budget that is at least half full. */
     HEDGE(0.5),
     /** Work that failed before its first token. */
     RETRY(0),
     /**
-     * Work whose owner died before it answered. It replaces load that the dead owner carried, so it
-     * may overdraw: otherwise the death of one daemon fails all but a burst of what it had queued.
+     * Work whose owner failed before it answered. It replaces load that the failed owner carried,
+     * so it may overdraw the budget: otherwise the failure of one daemon fails all of its queued
+     * work beyond one burst.
      */
     OWNER_LOST(-1),
     /**
-     * Work whose caller has part of its answer. It replaces load that a lost endpoint carried, so
-     * it may overdraw: without it a caller loses what it has already read.
+     * Work whose caller has received part of its answer. It replaces load that a lost endpoint
+     * carried, so it may overdraw the budget: otherwise the caller loses the part that it has
+     * received.
      */
     RESUME(-1);
 
-    private final double floor;
+    private final double minFill;
 
-    Use(double floor) {
-      this.floor = floor;
+    Use(double minFill) {
+      this.minFill = minFill;
     }
   }
 
@@ -48,9 +50,9 @@
   /**
    * Creates a full budget.
    *
-   * @param ratio attempts beyond the first for each request, above 0 and at most 1
-   * @param capacity the most that can be saved up: a burst of failures this large is retried at
-   *     once; at least 1
+   * @param ratio additional attempts per request, above 0 and at most 1
+   * @param capacity maximum budget, at least 1; a burst of this many failures is retried
+   *     immediately
    */
   public RetryBudget(double ratio, double capacity) {
     if (!(ratio > 0 && ratio <= 1)) {
@@ -64,14 +66,16 @@
     this.tokens = capacity;
   }
 
-  /** Adds the share of one request. */
+  /** Adds the budget share of one request. */
   public void requestArrived() {
     tokens = Math.min(capacity, tokens + ratio);
   }
 
-  /** Takes one attempt, or returns false if the budget does not allow it. */
+  /**
+   * Takes one attempt from the budget, or returns false if there is too little left for this use.
+   */
   public boolean take(Use use) {
-    if (tokens - 1 < use.floor * capacity) {
+    if (tokens - 1 < use.minFill * capacity) {
       return false;
     }
     tokens--;
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/ServiceLine.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/ServiceQueue.java
@@ -10,17 +10,17 @@
 import java.util.function.Predicate;
 
 /**
- * Holds what waits for one service at one priority: by adapter in fair turn, and by deadline within
- * an adapter. Not safe for use by several threads.
+ * Waiting requests of one service at one priority: fair queueing across adapters, earliest deadline
+ * first within an adapter. Not safe for use by several threads.
  */
-final class ServiceLine {
+final class ServiceQueue {
 
   private static final Comparator<AdmissionTicket> BY_DEADLINE =
       Comparator.comparingLong(AdmissionTicket::deadlineMillis)
           .thenComparing(AdmissionTicket::request);
 
   private final Map<String, TreeSet<AdmissionTicket>> flows = new TreeMap<>();
-  private final FairShares<String> shares = new FairShares<>();
+  private final FairScheduler<String> shares = new FairScheduler<>();
   private int size;
 
   int size() {
@@ -55,23 +55,23 @@
     return true;
   }
 
-  /** Returns the ticket whose turn it is. */
+  /** Returns the next ticket to serve. */
   Optional<AdmissionTicket> head() {
     return shares.next().map(flow -> flows.get(flow).first());
   }
 
-  /** Returns the tickets that meet a condition. */
+  /** Returns the tickets that match a condition. */
   List<AdmissionTicket> matching(Predicate<AdmissionTicket> condition) {
     return flows.values().stream().flatMap(Set::stream).filter(condition).toList();
   }
 
-  /** Charges the flow of a ticket that is served. */
+  /** Charges the flow of a ticket that is being served. */
   void charge(AdmissionTicket ticket) {
     shares.charge(ticket.flow(), ticket.cost());
   }
 
-  /** Returns the ticket that can be missed most easily: the latest due of the longest flow. */
-  Optional<AdmissionTicket> last() {
+  /** Returns the first ticket to shed: the latest deadline of the longest flow. */
+  Optional<AdmissionTicket> shedCandidate() {
     return flows.entrySet().stream()
         .max(
             Comparator.<Map.Entry<String, TreeSet<AdmissionTicket>>>comparingInt(
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/package-info.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What lives for one request: its outcome, its attempts, its idempotency record and its place in a
- * queue. Plain decision objects: events and the time in, typed actions out.
+ * State kept for the lifetime of a request: its outcome, attempts, idempotency record and place in
+ * the admission queue. All types are plain decision objects: they take events and the time, and
+ * return typed actions.
  */
 package io.sequoiapass.coordination.request;
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/AdmissionQueueTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/AdmissionQueueTest.java
@@ -28,9 +28,9 @@
     return new AdmissionTicket(id, new ServiceId(service), flow, priority, deadline, cost);
   }
 
-  private Map<String, Integer> servedByFlow(int turns) {
+  private Map<String, Integer> servedByFlow(int polls) {
     Map<String, Integer> served = new HashMap<>();
-    for (int i = 0; i < turns; i++) {
+    for (int i = 0; i < polls; i++) {
       queue
           .poll(0)
           .next()
@@ -44,10 +44,10 @@
   }
 
   @Nested
-  class Turns {
+  class Ordering {
 
     @Test
-    void servicesThenAdaptersTakeTurns() {
+    void sharesFairlyAcrossServicesThenAdapters() {
       for (int i = 0; i < 6; i++) {
         offerInteractive("yards", i < 5 ? "hot" : "rare");
       }
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aServiceWithCostlyRequestsGetsFewerTurns() {
+    void servesCostlyRequestsLessOften() {
       for (int i = 0; i < 6; i++) {
         queue.offer(ticket("costly", "", Priority.INTERACTIVE, 60_000, 5), 0);
         queue.offer(ticket("cheap", "", Priority.INTERACTIVE, 60_000, 1), 0);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void theEarliestDeadlineOfAnAdapterGoesFirst() {
+    void servesEarliestDeadlineOfAdapterFirst() {
       queue.offer(ticket("s", "a", Priority.INTERACTIVE, 9_000), 0);
       AdmissionTicket urgent = ticket("s", "a", Priority.INTERACTIVE, 8_000);
       queue.offer(urgent, 0);
@@ -77,10 +77,10 @@
   }
 
   @Nested
-  class Refusals {
+  class LoadShedding {
 
     @Test
-    void aServiceThatFloodsLosesItsOwnPlaces() {
+    void shedsRequestsOfFloodingService() {
       for (int i = 0; i < 8; i++) {
         assertThat(offerInteractive("flood", "a")).isEmpty();
       }
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void refusedCallersAreToldMomentsApart() {
+    void spacesRetryTimesOfRefusedCallers() {
       for (int i = 0; i < 8; i++) {
         offerInteractive("flood", "a");
       }
@@ -108,18 +108,18 @@
     }
 
     @Test
-    void aDeadlineBehindTheQueueIsRefusedOnArrival() {
+    void refusesUnreachableDeadlineOnArrival() {
       for (int i = 0; i < 8; i++) {
         offerInteractive("s", "a");
       }
-      AdmissionTicket hopeless = ticket("s", "a", Priority.INTERACTIVE, 50);
-      assertThat(queue.offer(hopeless, 0).orElseThrow().outcome().kind())
+      AdmissionTicket unreachable = ticket("s", "a", Priority.INTERACTIVE, 50);
+      assertThat(queue.offer(unreachable, 0).orElseThrow().outcome().kind())
           .isEqualTo(ErrorKind.DEADLINE_UNREACHABLE);
       assertThat(queue.offer(ticket("s", "a", Priority.DEADLINE, 50), 0)).isEmpty();
     }
 
     @Test
-    void whatIsTooLateIsNotServed() {
+    void doesNotServeExpiredRequests() {
       queue.offer(ticket("s", "a", Priority.INTERACTIVE, 50), 0);
       assertThat(queue.expire(50)).isEmpty();
       AdmissionQueue.Turn turn = queue.poll(51);
@@ -130,8 +130,9 @@
   }
 
   /**
-   * Callers offer three times what the endpoints can serve for a minute. Without limits the queue
-   * grows until every request is served after its deadline, and nothing useful is done at all.
+   * Guards against an overload without load shedding: callers offer three times the capacity for a
+   * minute, the queue grows until every request is served after its deadline, and goodput falls to
+   * zero.
    */
   @Nested
   class Overload {
@@ -140,7 +141,7 @@
     private static final int DEADLINE_MILLIS = 800;
 
     @Test
-    void threeTimesTheCapacityKeepsGoodputAndPriorityWork() {
+    void keepsGoodputAndPriorityWorkAtThreeTimesCapacity() {
       AdmissionQueue limited = new AdmissionQueue(AdmissionSettings.DEFAULT, 0);
       Map<Priority, Integer> offered = new EnumMap<>(Priority.class);
       Map<Priority, Integer> good = new EnumMap<>(Priority.class);
@@ -166,13 +167,13 @@
   }
 
   @Nested
-  class Pace {
+  class Estimates {
 
-    // Ten thousand requests a second find a place at once, then places run out. Were they counted
-    // as drained, callers who come next would be taken in by the hundred and refused when their
-    // deadline is near.
+    // Ten thousand requests per second are served without waiting, then the endpoints are
+    // saturated. If they counted towards the drain rate, hundreds of later requests would be
+    // admitted and refused just before their deadline.
     @Test
-    void whatFindsAPlaceAtOnceSaysNothingOfIt() {
+    void requestsServedWithoutWaitingDoNotRaiseDrainRate() {
       for (int i = 0; i < 10_000; i++) {
         queue.offer(ticket("yards", "a", Priority.INTERACTIVE, 60_000), i / 10);
         assertThat(queue.poll(i / 10).next()).isPresent();
@@ -183,10 +184,10 @@
       assertThat(queue.expectedWaitMillis(third, 1_000)).isEqualTo(20);
     }
 
-    // An engine becomes slower, and the work begun last is given up at its deadline. Learning from
-    // whole answers only, the queue would go on beginning work that cannot end in time.
+    // An engine slows down, and the work started last is abandoned at its deadline. With samples
+    // from complete answers only, the queue would keep starting work that cannot finish in time.
     @Test
-    void whatWasGivenUpShowsThatServingHasBecomeSlower() {
+    void abandonedRequestsRaiseServiceTimeEstimate() {
       queue.finished(1, 100);
       for (int i = 0; i < 50; i++) {
         queue.abandoned(1, 1_000);
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/AnswerAssemblerTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/AnswerAssemblerTest.java
@@ -2,33 +2,35 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sequoiapass.coordination.request.AnswerAssembler.Verdict;
+import io.sequoiapass.coordination.request.AnswerAssembler.FrameResult;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /**
- * A caller reads a stream whose frames come late, doubled, out of order or not at all, as after an
- * owner's death. It must see each token once and in order, and never a part as the whole.
+ * Guards against corrupted streams: frames arrive late, duplicated, out of order or not at all, as
+ * after the failure of an owner. The caller must receive each token once and in order, and never a
+ * partial answer as a complete one.
  */
 class AnswerAssemblerTest {
 
   private final AnswerAssembler answer =
-      new AnswerAssembler(AttemptWorld.ID, AttemptWorld.NOTES, 2);
+      new AnswerAssembler(AttemptSimulation.ID, AttemptSimulation.NOTES, 2);
 
   @BeforeEach
-  void fromTheFirstAttempt() {
-    answer.source(1);
+  void selectFirstAttempt() {
+    answer.selectAttempt(1);
   }
 
-  private Verdict token(int attempt, int index) {
+  private FrameResult token(int attempt, int index) {
     return answer.accept(
-        new AnswerFrame.Token(AttemptWorld.ID, attempt, AttemptWorld.NOTES, index, "t"));
+        new AnswerFrame.Token(AttemptSimulation.ID, attempt, AttemptSimulation.NOTES, index, "t"));
   }
 
-  private Verdict end(int tokens) {
-    return answer.accept(new AnswerFrame.Finished(AttemptWorld.ID, 1, AttemptWorld.NOTES, tokens));
+  private FrameResult end(int tokens) {
+    return answer.accept(
+        new AnswerFrame.Finished(AttemptSimulation.ID, 1, AttemptSimulation.NOTES, tokens));
   }
 
   private List<Integer> drained() {
@@ -36,44 +38,44 @@
   }
 
   @Test
-  void reorderedTokensAreHandedOnInOrder() {
-    assertThat(token(1, 1)).isEqualTo(Verdict.HELD);
+  void deliversReorderedTokensInOrder() {
+    assertThat(token(1, 1)).isEqualTo(FrameResult.BUFFERED);
     assertThat(drained()).isEmpty();
-    assertThat(token(1, 0)).isEqualTo(Verdict.TAKEN);
+    assertThat(token(1, 0)).isEqualTo(FrameResult.ACCEPTED);
     assertThat(drained()).containsExactly(0, 1);
   }
 
   @Test
-  void aDoubledTokenIsNeitherHandedOnNorAGap() {
+  void duplicateTokenIsNeitherDeliveredNorGap() {
     token(1, 0);
     drained();
-    assertThat(token(1, 0)).isEqualTo(Verdict.DOUBLED);
+    assertThat(token(1, 0)).isEqualTo(FrameResult.DUPLICATE);
     assertThat(drained()).isEmpty();
     assertThat(answer.hasGap()).isFalse();
   }
 
   @Test
-  void anEndWithoutItsLastTokenIsNotTheWhole() {
-    IntStream.range(0, 3).forEach(i -> assertThat(token(1, i)).isNotEqualTo(Verdict.DOUBLED));
+  void endWithoutLastTokenIsIncomplete() {
+    IntStream.range(0, 3).forEach(i -> assertThat(token(1, i)).isNotEqualTo(FrameResult.DUPLICATE));
     assertThat(drained()).hasSize(3);
-    assertThat(end(4)).isEqualTo(Verdict.HELD);
-    assertThat(answer.isWhole()).isFalse();
+    assertThat(end(4)).isEqualTo(FrameResult.BUFFERED);
+    assertThat(answer.isComplete()).isFalse();
   }
 
   @Test
-  void aLateTokenOfAnEarlierAttemptIsNotMixedIn() {
+  void ignoresLateTokenOfEarlierAttempt() {
     token(1, 0);
     drained();
-    answer.source(2);
-    assertThat(token(1, 1)).isEqualTo(Verdict.STRAY);
-    assertThat(token(2, 1)).isEqualTo(Verdict.TAKEN);
+    answer.selectAttempt(2);
+    assertThat(token(1, 1)).isEqualTo(FrameResult.UNEXPECTED);
+    assertThat(token(2, 1)).isEqualTo(FrameResult.ACCEPTED);
   }
 
   @Test
-  void anEndBeforeATokenThatWasSeenIsAMismatch() {
+  void endBeforeReceivedTokenIsMismatch() {
     token(1, 0);
     token(1, 1);
-    assertThat(end(1)).isEqualTo(Verdict.MISMATCH);
-    assertThat(token(1, 9)).as("memory stays bounded").isEqualTo(Verdict.OVERFLOW);
+    assertThat(end(1)).isEqualTo(FrameResult.MISMATCH);
+    assertThat(token(1, 9)).as("memory stays bounded").isEqualTo(FrameResult.OVERFLOW);
   }
 }
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/AttemptWorld.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/AttemptSimulation.java
@@ -14,8 +14,10 @@
 import java.util.Set;
 import org.assertj.core.api.Assertions;
 
-/** Plays owners, endpoints and a network for one request, and counts what ran. */
-final class AttemptWorld {
+/**
+ * Simulates owners, endpoints and a network for one request, and counts the runs at the endpoints.
+ */
+final class AttemptSimulation {
 
   static final RequestId ID = new RequestId("r");
   static final Optional<AdapterVersion> NOTES = Optional.of(AdapterVersion.parse("notes@v7"));
@@ -30,14 +32,14 @@
   private final Map<Integer, AttemptAction.Send> sent = new HashMap<>();
   private final Set<Integer> broken = new HashSet<>();
   private final Set<Integer> withdrawn = new HashSet<>();
-  private final Set<EndpointId> holdsStream = new HashSet<>();
+  private final Set<EndpointId> streamHolders = new HashSet<>();
   private long now;
   int runs;
   int delivered;
   boolean callerLeft;
   final List<Outcome> outcomes = new ArrayList<>();
 
-  AttemptWorld(long seed, Repeatability repeatability) {
+  AttemptSimulation(long seed, Repeatability repeatability) {
     random = new Random(seed);
     length = 1 + random.nextInt(6);
     boolean keyed = repeatability.needsStartGrant() && random.nextBoolean();
@@ -52,7 +54,10 @@
             Optional.of(new HedgePolicy(15)));
   }
 
-  /** Runs to the outcome and on until no message is left, since a late one may still run it. */
+  /**
+   * Runs until the outcome and then until no message is left, since a late message may still run
+   * it.
+   */
   void run() {
     perform(attempts.begin(now));
     for (int step = 0; step < STEPS; step++) {
@@ -60,14 +65,14 @@
       if (!inFlight.isEmpty() && random.nextInt(4) > 0) {
         inFlight.remove(random.nextInt(inFlight.size())).run();
       } else if (now >= attempts.nextTickMillis()) {
-        tell(new AttemptEvent.Tick());
+        handle(new AttemptEvent.Tick());
       } else if (random.nextInt(60) == 0) {
         callerLeft = true;
-        tell(new AttemptEvent.CallerLeft());
+        handle(new AttemptEvent.CallerLeft());
       }
     }
     now = spec.deadlineMillis();
-    tell(new AttemptEvent.Tick());
+    handle(new AttemptEvent.Tick());
     while (!inFlight.isEmpty()) {
       inFlight.remove(0).run();
     }
@@ -77,7 +82,7 @@
     return random.nextInt(n) == 0;
   }
 
-  private void tell(AttemptEvent event) {
+  private void handle(AttemptEvent event) {
     perform(attempts.on(event, now));
   }
 
@@ -86,7 +91,7 @@
       if (action instanceof AttemptAction.Send send) {
         route(send);
       } else if (action instanceof AttemptAction.RecordStart record) {
-        inFlight.add(() -> tell(recordAnswer(record.attempt())));
+        inFlight.add(() -> handle(recordAnswer(record.attempt())));
       } else if (action instanceof AttemptAction.GrantStart grant) {
         inFlight.add(() -> write(sent.get(grant.attempt())));
       } else if (action instanceof AttemptAction.Deliver deliver) {
@@ -106,14 +111,15 @@
 
   private void route(AttemptAction.Send send) {
     if (oneIn(12)) {
-      inFlight.add(() -> tell(new AttemptEvent.Unroutable(send.attempt(), ErrorKind.NO_ENDPOINT)));
+      inFlight.add(
+          () -> handle(new AttemptEvent.Unroutable(send.attempt(), ErrorKind.NO_ENDPOINT)));
       return;
     }
     sent.put(send.attempt(), send);
     EndpointId to = send.prefer().orElse(new EndpointId("e" + random.nextInt(3)));
-    tell(new AttemptEvent.Routed(send.attempt(), to));
+    handle(new AttemptEvent.Routed(send.attempt(), to));
     if (!oneIn(10)) {
-      inFlight.add(() -> ownerTakes(send, to));
+      inFlight.add(() -> ownerReceives(send, to));
     }
     if (oneIn(4)) {
       inFlight.add(() -> breakLink(send.attempt()));
@@ -122,22 +128,24 @@
 
   private void breakLink(int attempt) {
     broken.add(attempt);
-    tell(new AttemptEvent.OwnerLost(attempt));
+    handle(new AttemptEvent.OwnerLost(attempt));
   }
 
-  /** A frame on a broken link is lost, or comes late by another way. */
+  /**
+   * Sends to the entry daemon; on a broken link the frame is lost or arrives late by another route.
+   */
   private void toEntry(int attempt, AttemptEvent event) {
     inFlight.add(
         () -> {
           if (!broken.contains(attempt) || oneIn(2)) {
-            tell(event);
+            handle(event);
           }
         });
   }
 
-  private void ownerTakes(AttemptAction.Send send, EndpointId to) {
+  private void ownerReceives(AttemptAction.Send send, EndpointId to) {
     int attempt = send.attempt();
-    if (send.mode() != AttemptAction.Mode.RUN && holdsStream.contains(to)) {
+    if (send.mode() != AttemptAction.Mode.RUN && streamHolders.contains(to)) {
       stream(attempt, send.resumeFrom());
     } else if (send.mode() == AttemptAction.Mode.ATTACH_ONLY || oneIn(6)) {
       refuse(attempt, NotRunProof.withdrawnFromQueue());
@@ -174,7 +182,7 @@
       refuse(attempt, NotRunProof.startNotGranted());
       return;
     }
-    holdsStream.add(send.prefer().orElse(new EndpointId("e" + random.nextInt(3))));
+    streamHolders.add(send.prefer().orElse(new EndpointId("e" + random.nextInt(3))));
     stream(attempt, send.resumeFrom());
   }
 
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/ErrorKindTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/ErrorKindTest.java
@@ -14,7 +14,7 @@
 class ErrorKindTest {
 
   @Test
-  void thePageHoldsTheTableOfTheCode() throws IOException {
+  void documentationMatchesErrorKinds() throws IOException {
     String page = Files.readString(Path.of("..", "docs", "ERRORS.md"));
     assertThat(page.lines().filter(line -> line.startsWith("| `")).toList())
         .isEqualTo(Arrays.stream(ErrorKind.values()).map(ErrorKindTest::row).toList());
@@ -22,19 +22,17 @@
 
   @ParameterizedTest
   @EnumSource
-  void aKindThatMayHaveRunIsNeverCalledSafeForWorkThatMayNotRunTwice(ErrorKind kind) {
+  void onlyNotRunIsSafeToRetryForAtMostOnceWork(ErrorKind kind) {
     assertThat(kind.retryAdvice().safeFor(Repeatability.AT_MOST_ONCE))
         .isEqualTo(kind.outcomeClass() == OutcomeClass.NOT_RUN);
   }
 
-  // A caller whose work did not run for a reason that passes waits for nothing and is sent away;
-  // with
-  // no time to come back at, callers return at once and all together.
+  // A transient refusal without a retry time lets callers retry immediately and all together.
   @ParameterizedTest
   @EnumSource
-  void workThatDidNotRunForAReasonThatPassesComesWithATimeToComeBack(ErrorKind kind) {
-    boolean passes = kind.retryAdvice() == RetryAdvice.SAFE && kind.httpStatus() >= 500;
-    assertThat(passes && kind.comeBackMillis().isEmpty()).isFalse();
+  void transientRefusalHasRetryTime(ErrorKind kind) {
+    boolean isTransient = kind.retryAdvice() == RetryAdvice.SAFE && kind.httpStatus() >= 500;
+    assertThat(isTransient && kind.comeBackMillis().isEmpty()).isFalse();
   }
 
   private static String row(ErrorKind kind) {
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/FirstTokenTimesTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/FirstTokenTimesTest.java
@@ -9,7 +9,7 @@
   private final FirstTokenTimes times = new FirstTokenTimes();
 
   @Test
-  void nothingIsHedgedWhileTooLittleIsKnown() {
+  void doesNotHedgeWithTooFewSamples() {
     for (int i = 0; i < 31; i++) {
       times.add(50);
     }
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void hedgesAfterWhatMostNeeded() {
+  void hedgesAfter95thPercentile() {
     for (int i = 1; i <= 128; i++) {
       times.add(i);
     }
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void forgetsWhatIsLongAgo() {
+  void dropsSamplesOutsideWindow() {
     for (int i = 0; i < 256; i++) {
       times.add(i < 128 ? 1_000 : 20);
     }
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/LedgerFuzzTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/LedgerFuzzTest.java
@@ -9,42 +9,41 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Callers send the same keys through five daemons at once, again and again. Daemons are replaced,
- * freeze past their lease and thaw, are cut off from the others and from the platform, and messages
- * are lost, doubled and reordered. No key may run twice within its retention, by the count of those
- * who run it.
+ * Guards against running the work of a key twice within its retention, counted where it runs.
+ * Callers repeatedly send the same keys through five daemons while daemons are replaced, freeze
+ * beyond their lease and resume, or are partitioned from the others and from the platform, and
+ * while messages are lost, duplicated and reordered.
  */
 class LedgerFuzzTest {
 
-  private static final int RUNS = Integer.getInteger("fuzz.runs", 200);
-  private static final long FIRST = Long.getLong("fuzz.first", 0);
+  private static final int SEED_COUNT = Integer.getInteger("fuzz.runs", 200);
+  private static final long FIRST_SEED = Long.getLong("fuzz.first", 0);
   private static final int STEPS = 6_000;
 
   @Property(tries = 50, seed = "7")
-  void anySeed(@ForAll long seed) {
+  void randomSeeds(@ForAll long seed) {
     check(seed, 0.01);
   }
 
   @Test
   void fixedSeeds() {
-    // Worlds share nothing, so seeds are played side by side; each by itself is the same every
-    // time.
+    // Simulations share no state, so seeds run in parallel; each seed by itself is deterministic.
     int started =
-        LongStream.range(FIRST, FIRST + RUNS)
+        LongStream.range(FIRST_SEED, FIRST_SEED + SEED_COUNT)
             .parallel()
             .mapToInt(seed -> check(seed, 0.002 * (1 + seed % 10)).started)
             .sum();
-    assertThat(started).as("starts over all seeds").isGreaterThan(RUNS);
+    assertThat(started).as("starts over all seeds").isGreaterThan(SEED_COUNT);
   }
 
   @Test
-  void withoutFaultsKeysStartOnceMembersAreOldEnough() {
+  void withoutFaultsKeysStartAfterRetention() {
     assertThat(check(1, 0).started).isGreaterThan(5);
   }
 
-  private static LedgerWorld check(long seed, double faults) {
-    LedgerWorld world = new LedgerWorld(seed, faults);
-    assertThatCode(() -> world.run(STEPS)).as("seed " + seed).doesNotThrowAnyException();
-    return world;
+  private static LedgerSimulation check(long seed, double faults) {
+    LedgerSimulation simulation = new LedgerSimulation(seed, faults);
+    assertThatCode(() -> simulation.run(STEPS)).as("seed " + seed).doesNotThrowAnyException();
+    return simulation;
   }
 }
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/LedgerWorld.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/LedgerSimulation.java
@@ -18,32 +18,35 @@
 import java.util.TreeMap;
 import org.assertj.core.api.Assertions;
 
-/** Plays daemons, leases, a lossy network and entries that use few keys; counts the runs. */
-final class LedgerWorld {
+/**
+ * Simulates daemons, leases, a lossy network and entry daemons that share a few keys; counts the
+ * runs.
+ */
+final class LedgerSimulation {
 
   static final LedgerSettings SETTINGS = new LedgerSettings(2_000, 300, 200, 40, 300, 25, 1_000);
   private static final long LEASE = 100;
   private static final long MARGIN = 20;
   private static final int DAEMONS = 5;
 
-  /** How long an entry waits; shorter than a home waits for a holder's word. */
-  private static final long WAIT = 250;
+  /** How long an entry daemon waits; shorter than a primary replica waits for a holder's reply. */
+  private static final long ENTRY_TIMEOUT = 250;
 
-  private static final long FINISH_AGAIN = 50;
+  private static final long FINISH_RESEND = 50;
 
-  private record Use(IdempotencyKey key, Holder holder, long since) {
+  private record KeyUse(IdempotencyKey key, Holder holder, long since) {
     private long until() {
-      return since + WAIT;
+      return since + ENTRY_TIMEOUT;
     }
   }
 
-  /** An end that its home has to be told; told again after doubling pauses. */
-  private static final class Ended {
+  /** An outcome to be sent to the primary replica; resent with exponential backoff. */
+  private static final class PendingFinish {
     private final Finish finish;
-    private long pause = FINISH_AGAIN;
+    private long resendDelay = FINISH_RESEND;
     private long sendAt;
 
-    private Ended(Finish finish) {
+    private PendingFinish(Finish finish) {
       this.finish = finish;
     }
   }
@@ -51,8 +54,8 @@
   private final class Daemon {
     private final LedgerMember self;
     private final Ledger ledger;
-    private final Map<Holder, Use> open = new LinkedHashMap<>();
-    private final Map<Holder, Ended> ended = new LinkedHashMap<>();
+    private final Map<Holder, KeyUse> open = new LinkedHashMap<>();
+    private final Map<Holder, PendingFinish> ended = new LinkedHashMap<>();
     private LedgerView view = new LedgerView(0, Set.of());
     private long frozenUntil;
     private long cutUntil;
@@ -67,22 +70,22 @@
     }
   }
 
-  private record Mail(LedgerMember from, DaemonId to, LedgerMessage message) {}
+  private record Envelope(LedgerMember from, DaemonId to, LedgerMessage message) {}
 
   private final Random random;
   private final double faults;
   private final Map<DaemonId, Daemon> daemons = new TreeMap<>();
   private final Map<LedgerMember, Long> leases = new TreeMap<>();
-  private final List<Mail> mails = new ArrayList<>();
+  private final List<Envelope> inFlight = new ArrayList<>();
   private final Map<IdempotencyKey, List<Long>> runs = new HashMap<>();
-  private final Map<IdempotencyKey, Long> told = new HashMap<>();
+  private final Map<IdempotencyKey, Long> notifiedAt = new HashMap<>();
   private long membership = 1;
   private long now;
   private int serial;
   int started;
   int refused;
 
-  LedgerWorld(long seed, double faults) {
+  LedgerSimulation(long seed, double faults) {
     this.random = new Random(seed);
     this.faults = faults;
     for (int i = 0; i < DAEMONS; i++) {
@@ -91,18 +94,18 @@
   }
 
   void run(int steps) {
-    for (int step = 0; step < steps; step++) {
+    for (int round = 0; round < steps; round++) {
       now += random.nextInt(3);
       expireLeases();
-      for (int i = 0; i < 4 && !mails.isEmpty(); i++) {
-        deliver(mails.remove(random.nextInt(mails.size())));
+      for (int i = 0; i < 4 && !inFlight.isEmpty(); i++) {
+        deliver(inFlight.remove(random.nextInt(inFlight.size())));
       }
       Daemon daemon = daemons.get(new DaemonId("d" + random.nextInt(DAEMONS)));
       if (daemon.runs()) {
-        live(daemon);
+        step(daemon);
       }
       if (random.nextDouble() < faults) {
-        disturb(daemon);
+        injectFault(daemon);
       }
     }
   }
@@ -114,7 +117,7 @@
     leases.put(daemon.self, now + LEASE + MARGIN);
     membership++;
     daemon.ledger.authorityUntil(now + LEASE);
-    look(daemon);
+    refreshMembership(daemon);
   }
 
   private void expireLeases() {
@@ -123,112 +126,112 @@
     }
   }
 
-  private void look(Daemon daemon) {
+  private void refreshMembership(Daemon daemon) {
     daemon.view = new LedgerView(membership, leases.keySet());
     send(daemon, daemon.ledger.membersChanged(daemon.view, now));
   }
 
-  private void live(Daemon daemon) {
+  private void step(Daemon daemon) {
     if (!leases.containsKey(daemon.self)) {
-      // A life whose lease has lapsed is over: its memory has gaps that it cannot see.
+      // An incarnation whose lease has expired ends: its records have gaps that it cannot detect.
       start(daemon.self.daemon());
       return;
     }
-    boolean reaches = now >= daemon.cutUntil;
-    if (reaches && random.nextInt(2) == 0) {
+    boolean connected = now >= daemon.cutUntil;
+    if (connected && random.nextInt(2) == 0) {
       leases.put(daemon.self, now + LEASE + MARGIN);
       daemon.ledger.authorityUntil(now + LEASE);
     }
-    if (reaches && random.nextInt(3) == 0) {
-      look(daemon);
+    if (connected && random.nextInt(3) == 0) {
+      refreshMembership(daemon);
     }
     send(daemon, daemon.ledger.tick(now));
     if (random.nextInt(4) == 0) {
       IdempotencyKey key = new IdempotencyKey("k" + random.nextInt(6));
       Holder holder = new Holder(daemon.self, new OperationId("o" + ++serial));
-      daemon.open.put(holder, new Use(key, holder, now));
-      toHome(daemon, key, new LedgerMessage.Reserve(key, "body", holder));
+      daemon.open.put(holder, new KeyUse(key, holder, now));
+      sendToPrimary(daemon, key, new LedgerMessage.Reserve(key, "body", holder));
     }
-    List<Use> late = new ArrayList<>(daemon.open.values());
-    late.stream().filter(use -> now >= use.until()).forEach(use -> notRun(daemon, use));
-    for (Ended ended : daemon.ended.values()) {
+    List<KeyUse> openUses = new ArrayList<>(daemon.open.values());
+    openUses.stream().filter(use -> now >= use.until()).forEach(use -> notRun(daemon, use));
+    for (PendingFinish ended : daemon.ended.values()) {
       if (now >= ended.sendAt) {
-        tell(daemon, ended);
+        sendFinish(daemon, ended);
       }
     }
   }
 
-  private void disturb(Daemon daemon) {
+  private void injectFault(Daemon daemon) {
     switch (random.nextInt(4)) {
       case 0 -> start(daemon.self.daemon());
       case 1 -> daemon.frozenUntil = now + random.nextInt(400);
       case 2 -> daemon.cutUntil = now + random.nextInt(400);
-      default -> mails.removeIf(mail -> random.nextInt(2) == 0);
+      default -> inFlight.removeIf(envelope -> random.nextInt(2) == 0);
     }
   }
 
-  private void notRun(Daemon daemon, Use use) {
+  private void notRun(Daemon daemon, KeyUse use) {
     refused++;
     end(daemon, use, OutcomeClass.NOT_RUN);
   }
 
-  private void end(Daemon daemon, Use use, OutcomeClass outcome) {
+  private void end(Daemon daemon, KeyUse use, OutcomeClass outcome) {
     daemon.open.remove(use.holder);
     Finish finish = new Finish(use.key, use.holder, outcome);
-    Ended ended = new Ended(finish);
+    PendingFinish ended = new PendingFinish(finish);
     daemon.ended.put(use.holder, ended);
-    tell(daemon, ended);
+    sendFinish(daemon, ended);
   }
 
-  private void tell(Daemon daemon, Ended ended) {
-    ended.sendAt = now + ended.pause;
-    ended.pause *= 2;
-    toHome(daemon, ended.finish.key(), ended.finish);
+  private void sendFinish(Daemon daemon, PendingFinish ended) {
+    ended.sendAt = now + ended.resendDelay;
+    ended.resendDelay *= 2;
+    sendToPrimary(daemon, ended.finish.key(), ended.finish);
   }
 
-  private void toHome(Daemon daemon, IdempotencyKey key, LedgerMessage message) {
+  private void sendToPrimary(Daemon daemon, IdempotencyKey key, LedgerMessage message) {
     new LedgerHomes(Ranking.rendezvous(), daemon.view.members())
         .home(key)
-        .ifPresent(home -> send(daemon, List.of(new LedgerSend(home.daemon(), message))));
+        .ifPresent(primary -> send(daemon, List.of(new LedgerSend(primary.daemon(), message))));
   }
 
   private void send(Daemon from, List<LedgerSend> sends) {
     for (LedgerSend send : sends) {
-      mails.add(new Mail(from.self, send.to(), send.message()));
+      inFlight.add(new Envelope(from.self, send.to(), send.message()));
       if (random.nextInt(20) == 0) {
-        mails.add(new Mail(from.self, send.to(), send.message()));
+        inFlight.add(new Envelope(from.self, send.to(), send.message()));
       }
     }
   }
 
-  private void deliver(Mail mail) {
-    Daemon to = daemons.get(mail.to);
-    boolean cut = now < to.cutUntil || now < daemons.get(mail.from.daemon()).cutUntil;
-    boolean loses = faults > 0 && random.nextInt(25) == 0;
-    if ((cut && !to.self.equals(mail.from)) || loses) {
+  private void deliver(Envelope envelope) {
+    Daemon to = daemons.get(envelope.to);
+    boolean cut = now < to.cutUntil || now < daemons.get(envelope.from.daemon()).cutUntil;
+    boolean dropped = faults > 0 && random.nextInt(25) == 0;
+    if ((cut && !to.self.equals(envelope.from)) || dropped) {
       return;
     }
     if (!to.runs()) {
-      mails.add(mail);
-    } else if (mail.message instanceof Answer answer) {
+      inFlight.add(envelope);
+    } else if (envelope.message instanceof Answer answer) {
       answered(to, answer);
-    } else if (mail.message instanceof AskHolder ask) {
-      asked(to, mail.from.daemon(), ask);
+    } else if (envelope.message instanceof AskHolder query) {
+      answerQuery(to, envelope.from.daemon(), query);
     } else {
-      send(to, to.ledger.receive(mail.from.daemon(), mail.message, now));
+      send(to, to.ledger.receive(envelope.from.daemon(), envelope.message, now));
     }
   }
 
-  private void asked(Daemon daemon, DaemonId home, AskHolder ask) {
-    Ended ended = daemon.ended.get(ask.holder());
-    LedgerMessage word = ended == null ? null : ended.finish;
-    if (daemon.open.containsKey(ask.holder())) {
-      word = new LedgerMessage.StillOpen(ask.key(), ask.holder(), ask.asker());
-    } else if (word == null && ask.holder().entry().equals(daemon.self)) {
-      word = new Finish(ask.key(), ask.holder(), OutcomeClass.UNKNOWN);
+  private void answerQuery(Daemon daemon, DaemonId primary, AskHolder query) {
+    PendingFinish ended = daemon.ended.get(query.holder());
+    LedgerMessage reply = ended == null ? null : ended.finish;
+    if (daemon.open.containsKey(query.holder())) {
+      reply = new LedgerMessage.StillOpen(query.key(), query.holder(), query.asker());
+    } else if (reply == null && query.holder().entry().equals(daemon.self)) {
+      reply = new Finish(query.key(), query.holder(), OutcomeClass.UNKNOWN);
     }
-    if (word != null) {
-      send(daemon, List.of(new LedgerSend(home, word)));
+    if (reply != null) {
+      send(daemon, List.of(new LedgerSend(primary, reply)));
     }
   }
 
@@ -237,7 +240,7 @@
       daemon.ended.remove(answer.holder());
       return;
     }
-    Use use = daemon.open.get(answer.holder());
+    KeyUse use = daemon.open.get(answer.holder());
     if (use == null || answer.step() == Step.FINISH) {
       return;
     }
@@ -245,28 +248,31 @@
       refused(use, answer.refusal().get());
       notRun(daemon, use);
     } else if (answer.step() == Step.RESERVE) {
-      toHome(daemon, use.key, new LedgerMessage.MarkStart(use.key, use.holder));
+      sendToPrimary(daemon, use.key, new LedgerMessage.MarkStart(use.key, use.holder));
     } else {
       ran(use);
       OutcomeClass outcome = random.nextInt(5) == 0 ? OutcomeClass.UNKNOWN : OutcomeClass.ANSWERED;
-      told.put(use.key, now);
+      notifiedAt.put(use.key, now);
       end(daemon, use, outcome);
     }
   }
 
-  /** A caller that was told of the end before it asked again is not told "in progress". */
-  private void refused(Use use, ErrorKind kind) {
-    Long at = told.get(use.key);
+  /**
+   * Checks that a caller which received the outcome before its next request is not told "in
+   * progress".
+   */
+  private void refused(KeyUse use, ErrorKind kind) {
+    Long at = notifiedAt.get(use.key);
     if (kind != ErrorKind.KEY_IN_PROGRESS || at == null || now >= use.until()) {
       return;
     }
-    boolean ended = at < use.since && now - at < SETTINGS.retentionMillis() - WAIT;
+    boolean ended = at < use.since && now - at < SETTINGS.retentionMillis() - ENTRY_TIMEOUT;
     Assertions.assertThat(ended)
         .as("%s ended at %d, asked at %d, in progress at %d", use.key, at, use.since, now)
         .isFalse();
   }
 
-  private void ran(Use use) {
+  private void ran(KeyUse use) {
     started++;
     List<Long> before = runs.computeIfAbsent(use.key, key -> new ArrayList<>());
     for (long at : before) {
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/LedgerTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/LedgerTest.java
@@ -16,40 +16,40 @@
 
 class LedgerTest {
 
-  private static final LedgerMember HOME = new LedgerMember(new DaemonId("home"), 1);
-  private static final LedgerMember SECOND = new LedgerMember(new DaemonId("second"), 1);
+  private static final LedgerMember PRIMARY = new LedgerMember(new DaemonId("home"), 1);
+  private static final LedgerMember SECONDARY = new LedgerMember(new DaemonId("second"), 1);
   private static final IdempotencyKey KEY = new IdempotencyKey("slip-17");
   private static final Holder FIRST = holder("first");
   private static final Holder OTHER = holder("other");
 
   private final Ledger ledger =
       new Ledger(
-          HOME, LedgerSettings.DEFAULT, (key, members) -> members.stream().sorted().toList(), 0);
+          PRIMARY, LedgerSettings.DEFAULT, (key, members) -> members.stream().sorted().toList(), 0);
 
   private static Holder holder(String entry) {
     return new Holder(new LedgerMember(new DaemonId(entry), 1), new OperationId("o1"));
   }
 
   @BeforeEach
-  void homeThatKnows() {
+  void synchronizePrimary() {
     ledger.authorityUntil(1_000);
-    ledger.membersChanged(new LedgerView(1, Set.of(HOME, SECOND)), 0);
-    LedgerMessage reply = new LedgerMessage.Records(SECOND, 1, List.of(), List.of(), true);
-    ledger.receive(SECOND.daemon(), reply, 0);
+    ledger.membersChanged(new LedgerView(1, Set.of(PRIMARY, SECONDARY)), 0);
+    LedgerMessage reply = new LedgerMessage.Records(SECONDARY, 1, List.of(), List.of(), true);
+    ledger.receive(SECONDARY.daemon(), reply, 0);
   }
 
   /**
-   * Lets the second keep each copy and holders that are asked say that theirs is still open, and
-   * returns what the entry is told.
+   * Confirms each copy as the secondary, replies to holder queries that the holder is still open,
+   * and returns the answers to the entry daemon.
    */
-  private List<Optional<ErrorKind>> ask(LedgerMessage message, Holder holder, long now) {
+  private List<Optional<ErrorKind>> exchange(LedgerMessage message, Holder holder, long now) {
     List<LedgerSend> sends = new ArrayList<>(ledger.receive(holder.entry().daemon(), message, now));
     for (LedgerSend send : List.copyOf(sends)) {
       if (send.message() instanceof LedgerMessage.Copy copy) {
-        LedgerMessage kept = new LedgerMessage.Copied(SECOND, KEY, copy.record().sequence());
-        sends.addAll(ledger.receive(SECOND.daemon(), kept, now));
-      } else if (send.message() instanceof LedgerMessage.AskHolder asked) {
-        LedgerMessage open = new LedgerMessage.StillOpen(KEY, asked.holder(), asked.asker());
+        LedgerMessage copied = new LedgerMessage.Copied(SECONDARY, KEY, copy.record().sequence());
+        sends.addAll(ledger.receive(SECONDARY.daemon(), copied, now));
+      } else if (send.message() instanceof LedgerMessage.AskHolder query) {
+        LedgerMessage open = new LedgerMessage.StillOpen(KEY, query.holder(), query.asker());
         sends.addAll(ledger.receive(send.to(), open, now));
       }
     }
@@ -64,20 +64,20 @@
   }
 
   private List<Optional<ErrorKind>> reserve(Holder holder, String digest, long now) {
-    return ask(new LedgerMessage.Reserve(KEY, digest, holder), holder, now);
+    return exchange(new LedgerMessage.Reserve(KEY, digest, holder), holder, now);
   }
 
   private List<Optional<ErrorKind>> markStart(Holder holder) {
-    return ask(new LedgerMessage.MarkStart(KEY, holder), holder, 0);
+    return exchange(new LedgerMessage.MarkStart(KEY, holder), holder, 0);
   }
 
   /**
-   * A caller sends a key through one entry, which is cut off before the start; the key is freed and
-   * the caller's retry reserves it through another. The first entry is back and asks for its start:
-   * a yes would run the work twice.
+   * Guards against running work twice: an entry daemon is partitioned before the start, the key is
+   * freed, and the caller's retry reserves it through another entry daemon. The first one then
+   * reconnects and requests its start, which must be refused.
    */
   @Test
-  void anEntryThatLostTheKeyMayNotStart() {
+  void entryDaemonThatLostKeyMayNotStart() {
     assertThat(reserve(FIRST, "body", 0)).containsExactly(Optional.empty());
     ledger.entryLost(FIRST.entry(), 0);
     assertThat(reserve(OTHER, "body", 0)).containsExactly(Optional.empty());
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aStartedKeyOfALostEntryIsUnknownAndNotFree() {
+  void startedKeyOfLostEntryDaemonIsUnknown() {
     reserve(FIRST, "body", 0);
     markStart(FIRST);
     ledger.entryLost(FIRST.entry(), 0);
@@ -95,63 +95,67 @@
   }
 
   @Test
-  void aKeyWithAnotherBodyIsToldApart() {
+  void detectsKeyReusedWithAnotherBody() {
     reserve(FIRST, "body", 0);
     assertThat(reserve(OTHER, "body", 0)).containsExactly(Optional.of(ErrorKind.KEY_IN_PROGRESS));
     assertThat(reserve(OTHER, "else", 0)).containsExactly(Optional.of(ErrorKind.KEY_REUSED));
   }
 
   @Test
-  void aHomeWhoseLeaseMayHaveLapsedRefuses() {
+  void primaryWithPossiblyExpiredLeaseRefuses() {
     assertThat(reserve(FIRST, "body", 1_000))
         .containsExactly(Optional.of(ErrorKind.LEDGER_UNAVAILABLE));
   }
 
-  // A fresh fleet would refuse all keyed work for the retention, though nothing can have run
-  // before.
+  // Without this rule a newly installed fleet would refuse all keyed work for the retention period,
+  // although nothing can have run before.
   @Test
-  void decidesAtOnceOnlyIfNothingWasBefore() {
-    LedgerView alone = new LedgerView(1, Set.of(HOME, SECOND));
-    Ledger fresh =
-        new Ledger(HOME, LedgerSettings.DEFAULT, (key, all) -> all.stream().sorted().toList(), 0);
-    fresh.authorityUntil(1_000);
-    fresh.membersChanged(alone, 0);
-    fresh.receive(
-        SECOND.daemon(), new LedgerMessage.Records(SECOND, 1, List.of(), List.of(), false), 0);
-    assertThat(fresh.decides(KEY, 1)).isFalse();
-
-    fresh.nothingBefore();
-
-    assertThat(fresh.decides(KEY, 1)).isTrue();
+  void decidesImmediatelyOnlyWithoutEarlierRecords() {
+    LedgerView view = new LedgerView(1, Set.of(PRIMARY, SECONDARY));
+    Ledger newLedger =
+        new Ledger(
+            PRIMARY, LedgerSettings.DEFAULT, (key, all) -> all.stream().sorted().toList(), 0);
+    newLedger.authorityUntil(1_000);
+    newLedger.membersChanged(view, 0);
+    newLedger.receive(
+        SECONDARY.daemon(),
+        new LedgerMessage.Records(SECONDARY, 1, List.of(), List.of(), false),
+        0);
+    assertThat(newLedger.decides(KEY, 1)).isFalse();
+
+    newLedger.nothingBefore();
+
+    assertThat(newLedger.decides(KEY, 1)).isTrue();
   }
 
   /**
-   * A caller has its answer, the entry's word of it has reached the home, and the home is killed
-   * before the second has it. Were the entry told "done" by then, nobody would send the outcome
-   * again, and the new home would call the key in progress until the record expires.
+   * Guards against a lost outcome: the primary receives the outcome from the entry daemon and is
+   * killed before the secondary has it. If the entry daemon had its confirmation by then, it would
+   * not resend the outcome, and the new primary would report the key as in progress until the
+   * record expires.
    */
   @Test
-  void anOutcomeIsConfirmedOnceTheSecondHasIt() {
+  void confirmsOutcomeAfterSecondaryHasIt() {
     reserve(FIRST, "body", 0);
     markStart(FIRST);
     LedgerMessage finish = new LedgerMessage.Finish(KEY, FIRST, OutcomeClass.ANSWERED);
 
     assertThat(answers(ledger.receive(FIRST.entry().daemon(), finish, 1))).isEmpty();
-    assertThat(ask(finish, FIRST, 2)).containsExactly(Optional.empty());
+    assertThat(exchange(finish, FIRST, 2)).containsExactly(Optional.empty());
   }
 
   /**
-   * A caller has its answer; the home of its key is killed before it hears of the outcome. The new
-   * home has a copy of an open record only. The caller's next try with the key reaches it before
-   * the entry does: "in progress" would be wrong, as the caller knows.
+   * Guards against a wrong "in progress": a caller has its answer, and the primary of its key is
+   * killed before it receives the outcome. The new primary has only a copy of an open record, and
+   * the caller's next request with the key arrives before the entry daemon reports the outcome.
    */
   @Test
-  void aHomeWithAnOpenRecordWaitsForTheHoldersWord() {
+  void primaryWithOpenRecordWaitsForHolderReply() {
     LedgerRecord open = new LedgerRecord(KEY, "body", FIRST, LedgerState.RESERVED, 4, 500);
-    ledger.receive(SECOND.daemon(), new LedgerMessage.Copy(open), 0);
+    ledger.receive(SECONDARY.daemon(), new LedgerMessage.Copy(open), 0);
 
-    LedgerMessage again = new LedgerMessage.Reserve(KEY, "body", OTHER);
-    assertThat(answers(ledger.receive(OTHER.entry().daemon(), again, 1))).isEmpty();
+    LedgerMessage retry = new LedgerMessage.Reserve(KEY, "body", OTHER);
+    assertThat(answers(ledger.receive(OTHER.entry().daemon(), retry, 1))).isEmpty();
     LedgerMessage finish = new LedgerMessage.Finish(KEY, FIRST, OutcomeClass.ANSWERED);
     assertThat(answers(ledger.receive(FIRST.entry().daemon(), finish, 2)))
         .contains(Optional.of(ErrorKind.KEY_ALREADY_RAN));
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/OutcomeTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/OutcomeTest.java
@@ -7,13 +7,13 @@
 class OutcomeTest {
 
   @Test
-  void notRunNeedsAProof() {
+  void notRunRequiresProof() {
     assertThatThrownBy(() -> Outcome.notRun(ErrorKind.DRAINING, null))
         .hasMessageContaining("proof");
   }
 
   @Test
-  void aKindThatMayHaveRunIsNeverNotRun() {
+  void notRunRejectsKindThatMayHaveRun() {
     assertThatThrownBy(
             () -> Outcome.notRun(ErrorKind.STREAM_SHORT, NotRunProof.refusedByEndpoint()))
         .hasMessageContaining("STREAM_SHORT is UNKNOWN");
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/RequestAttemptsFuzzTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/RequestAttemptsFuzzTest.java
@@ -9,25 +9,26 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A caller sends one request while owners freeze, links break, endpoints refuse, die or answer on
- * another adapter, and frames come late, doubled and out of order. It must be told exactly one
- * outcome; NOT RUN only if no endpoint ever ran it, also later; an answer only if it is whole; and
- * work that may not be repeated must have run once at most, by the count of the endpoints.
+ * Guards against wrong outcomes of a request while owners freeze, links break, endpoints refuse,
+ * fail or answer with another adapter, and frames arrive late, duplicated and out of order. The
+ * caller must receive exactly one outcome: NOT RUN only if no endpoint ever ran the request, also
+ * later; an answer only if it is complete. At-most-once work must have run at most once, as counted
+ * by the endpoints.
  */
 class RequestAttemptsFuzzTest {
 
-  /** A longer run: {@code mvn test "-Dtest.arguments=-Xmx1g -Dfuzz.runs=100000"}. */
-  private static final int RUNS = Integer.getInteger("fuzz.runs", 2_000);
+  /** For a longer run: {@code mvn test "-Dtest.arguments=-Xmx1g -Dfuzz.runs=100000"}. */
+  private static final int SEED_COUNT = Integer.getInteger("fuzz.runs", 2_000);
 
   @Property(tries = 400, seed = "5")
-  void anySeed(@ForAll long seed, @ForAll Repeatability repeatability) {
+  void randomSeeds(@ForAll long seed, @ForAll Repeatability repeatability) {
     check(seed, repeatability);
   }
 
   @Test
   void fixedSeeds() {
     Map<OutcomeClass, Integer> seen = new EnumMap<>(OutcomeClass.class);
-    for (long seed = 0; seed < RUNS; seed++) {
+    for (long seed = 0; seed < SEED_COUNT; seed++) {
       for (Repeatability repeatability : Repeatability.values()) {
         seen.merge(check(seed, repeatability), 1, Integer::sum);
       }
@@ -36,21 +37,21 @@
   }
 
   private static OutcomeClass check(long seed, Repeatability repeatability) {
-    AttemptWorld world = new AttemptWorld(seed, repeatability);
-    world.run();
+    AttemptSimulation simulation = new AttemptSimulation(seed, repeatability);
+    simulation.run();
     String name = "seed " + seed + " " + repeatability;
-    assertThat(world.outcomes).as(name).hasSize(1);
-    Outcome outcome = world.outcomes.get(0);
+    assertThat(simulation.outcomes).as(name).hasSize(1);
+    Outcome outcome = simulation.outcomes.get(0);
     if (outcome instanceof Outcome.NotRun) {
-      assertThat(world.runs).as(name + " runs after NOT RUN, " + outcome).isZero();
+      assertThat(simulation.runs).as(name + " runs after NOT RUN, " + outcome).isZero();
     }
     if (outcome instanceof Outcome.Answered answered) {
-      assertThat(answered.tokens()).as(name).isEqualTo(world.length());
-      int wanted = world.callerLeft ? world.delivered : world.length();
-      assertThat(world.delivered).as(name + " delivered").isEqualTo(wanted);
+      assertThat(answered.tokens()).as(name).isEqualTo(simulation.length());
+      int expected = simulation.callerLeft ? simulation.delivered : simulation.length();
+      assertThat(simulation.delivered).as(name + " delivered").isEqualTo(expected);
     }
     if (repeatability == Repeatability.AT_MOST_ONCE) {
-      assertThat(world.runs).as(name + " runs").isLessThanOrEqualTo(1);
+      assertThat(simulation.runs).as(name + " runs").isLessThanOrEqualTo(1);
     }
     return outcome.outcomeClass();
   }
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/RequestAttemptsTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/RequestAttemptsTest.java
@@ -22,8 +22,8 @@
   private RequestAttempts attempts(Repeatability repeatability) {
     RequestSpec spec =
         new RequestSpec(
-            AttemptWorld.ID,
-            AttemptWorld.NOTES,
+            AttemptSimulation.ID,
+            AttemptSimulation.NOTES,
             repeatability,
             Priority.INTERACTIVE,
             false,
@@ -46,7 +46,8 @@
   private List<AttemptAction> token(int index, long now) {
     return attempts.on(
         new AttemptEvent.Frame(
-            new AnswerFrame.Token(AttemptWorld.ID, 1, AttemptWorld.NOTES, index, "t" + index)),
+            new AnswerFrame.Token(
+                AttemptSimulation.ID, 1, AttemptSimulation.NOTES, index, "t" + index)),
         now);
   }
 
@@ -55,13 +56,14 @@
     return (AttemptAction.Send) actions.get(0);
   }
 
-  // An operator restarts the daemons of a data centre one after the other; each gives the waiting
-  // request back, and its caller must not be refused, nor sent away from the loaded adapter.
+  // An operator restarts the daemons of a data centre one after the other, and each returns the
+  // waiting request. The caller must not be refused, and the request must not leave the endpoint
+  // that has the adapter loaded.
   @Nested
-  class WhenTheOwnerGivesItBack {
+  class OwnerReturnsRequest {
 
     @Test
-    void goesOnAfterAPauseAtTheSameEndpointHoweverOften() {
+    void retriesSameEndpointAfterEachMove() {
       attempts.begin(0);
       long now = 0;
       for (int attempt = 1; attempt <= SETTINGS.maxMoves(); attempt++) {
@@ -77,8 +79,8 @@
     }
 
     @Test
-    void countsAsFailureOnceItHappenedTooOften() {
-      goesOnAfterAPauseAtTheSameEndpointHoweverOften();
+    void failsAfterMaxMoves() {
+      retriesSameEndpointAfterEachMove();
       int last = SETTINGS.maxMoves() + 1;
       routed(last);
       assertThat(refused(last, ErrorKind.DRAINING, 1_000))
@@ -87,7 +89,7 @@
     }
 
     @Test
-    void isNotRunAtItsDeadline() {
+    void endsNotRunAtDeadline() {
       attempts.begin(0);
       routed(1);
       refused(1, ErrorKind.DRAINING, 0);
@@ -98,20 +100,21 @@
     }
 
     @Test
-    void avoidsAnEndpointThatRefusesForAnotherReason() {
+    void avoidsEndpointThatRefusesForOtherReason() {
       attempts.begin(0);
       routed(1);
       assertThat(onlySend(refused(1, ErrorKind.QUEUE_FULL, 0)).avoid()).containsExactly(ENGINE);
     }
   }
 
-  // A daemon dies with requests queued. Waiting for the next owner takes seconds; their callers see
-  // nothing of it if they run elsewhere at once, also when the budget for retries is used up.
+  // A daemon fails with requests queued, and its successor takes seconds to take over. Requests
+  // that run elsewhere immediately, even with the retry budget used up, hide the failure from their
+  // callers.
   @Nested
-  class WhenTheOwnerDies {
+  class OwnerFails {
 
     @Test
-    void runsElsewhereAtOnceIfNothingWasHeard() {
+    void runsElsewhereImmediatelyWithoutResponse() {
       attempts.begin(0);
       routed(1);
       assertThat(budget.take(RetryBudget.Use.RETRY)).isTrue();
@@ -122,7 +125,7 @@
     }
 
     @Test
-    void waitsForTheNextOwnerIfThereIsNoOther() {
+    void waitsForNextOwnerWithoutAlternative() {
       attempts.begin(0);
       routed(1);
       token(0, 1);
@@ -139,7 +142,7 @@
     }
 
     @Test
-    void readsOnAtTheEngineIfTokensCame() {
+    void resumesStreamAtEngineAfterTokens() {
       attempts.begin(0);
       routed(1);
       token(0, 1);
@@ -150,13 +153,13 @@
     }
   }
 
-  // A caller on a slow line stops reading for longer than a stream may be silent. Reading of its
-  // answer is stopped at the owner too, so nothing arrives; that must not look like a lost owner.
+  // A caller on a slow link stops reading for longer than a stream may be silent. The owner stops
+  // reading the answer as well, so nothing arrives; this must not be taken for a lost owner.
   @Nested
-  class WhenTheCallerReadsSlowly {
+  class CallerReadsSlowly {
 
     @Test
-    void neverGivesUpWhilePausedAndWaitsAnewAfterIt() {
+    void suspendsStallTimeoutWhilePaused() {
       attempts.begin(0);
       routed(1);
       token(0, 1);
@@ -169,7 +172,7 @@
     }
 
     @Test
-    void stillGivesUpOnAStreamThatIsSilentWithoutAPause() {
+    void timesOutSilentStreamWithoutPause() {
       attempts.begin(0);
       routed(1);
       token(0, 1);
@@ -178,7 +181,7 @@
   }
 
   @Test
-  void endsAtOnceWhenTheOwnerProvesThatTheDeadlineCannotBeKept() {
+  void endsWhenOwnerProvesDeadlineUnreachable() {
     attempts.begin(0);
     routed(1);
     assertThat(refused(1, ErrorKind.DEADLINE_PASSED, 9_950))
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/RetryBudgetTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/RetryBudgetTest.java
@@ -9,12 +9,12 @@
 class RetryBudgetTest {
 
   /**
-   * Callers send 10,000 requests while every endpoint refuses. Each request would be tried four
-   * times, and the load would be four times as high just when nothing can carry it; the budget
-   * keeps it at a tenth more.
+   * Guards against a retry storm: callers send 10,000 requests while every endpoint refuses. Four
+   * attempts per request would multiply the load by four when there is no capacity; the budget
+   * limits the increase to a tenth.
    */
   @Test
-  void noStormWhenAllEndpointsRefuse() {
+  void limitsRetryStormWhenAllEndpointsRefuse() {
     RetryBudget budget = new RetryBudget(0.1, 20);
     int attempts = 0;
     for (int i = 0; i < 10_000; i++) {
@@ -27,8 +27,8 @@
     RequestAttempts request =
         new RequestAttempts(
             new RequestSpec(
-                AttemptWorld.ID,
-                AttemptWorld.NOTES,
+                AttemptSimulation.ID,
+                AttemptSimulation.NOTES,
                 Repeatability.REPEATABLE,
                 Priority.INTERACTIVE,
                 false,
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void hedgesStopFirstAndResumesLast() {
+  void exhaustsHedgesFirstAndResumesLast() {
     RetryBudget budget = new RetryBudget(0.1, 2);
     assertThat(budget.take(RetryBudget.Use.HEDGE)).isTrue();
     assertThat(budget.take(RetryBudget.Use.HEDGE)).isFalse();
