--- a/coordination/src/main/java/io/sequoiapass/coordination/AdapterId.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/AdapterId.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one LoRA adapter, without its version.
+ * Identifier of a LoRA adapter, without its version.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record AdapterId(String value) implements Comparable<AdapterId> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public AdapterId {
     Names.check("adapter", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/AdapterVersion.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/AdapterVersion.java
@@ -3,7 +3,8 @@
 import java.util.Objects;
 
 /**
- * Names one adapter at one version: what a request runs on and what a slot of an engine holds.
+ * Identifier of an adapter at one version, which is what a request runs on and what an adapter slot
+ * of an engine holds.
  *
  * <pre>{@code
  * AdapterVersion notes = AdapterVersion.parse("bale-notes@v7");
@@ -17,20 +18,20 @@
 public record AdapterVersion(AdapterId adapter, VersionId version)
     implements Comparable<AdapterVersion> {
 
-  /** Stands between adapter and version in text. */
+  /** Separates adapter and version in the text form. */
   public static final char SEPARATOR = '@';
 
-  /** Checks that both parts are there. */
+  /** Checks that both parts are present. */
   public AdapterVersion {
     Objects.requireNonNull(adapter, "adapter");
     Objects.requireNonNull(version, "version");
   }
 
   /**
-   * Returns the adapter version that a text of the form {@code adapter@version} names.
+   * Parses a text of the form {@code adapter@version}.
    *
    * @param text the text
-   * @throws IllegalArgumentException if the text lacks a part
+   * @throws IllegalArgumentException if a part is missing or invalid
    */
   public static AdapterVersion parse(String text) {
     int at = text.lastIndexOf(SEPARATOR);
--- a/coordination/src/main/java/io/sequoiapass/coordination/DaemonId.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/DaemonId.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one daemon process of the fleet; a restarted daemon keeps its name.
+ * Identifier of a daemon; a restarted daemon keeps it, under a new incarnation.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record DaemonId(String value) implements Comparable<DaemonId> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public DaemonId {
     Names.check("daemon", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/DataCentreId.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/DataCentreId.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one data centre.
+ * Identifier of a data centre.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record DataCentreId(String value) implements Comparable<DataCentreId> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public DataCentreId {
     Names.check("data centre", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/EndpointId.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/EndpointId.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one endpoint: an engine, or a plain service, that runs requests.
+ * Identifier of an endpoint: an engine or a plain service that runs requests.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record EndpointId(String value) implements Comparable<EndpointId> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public EndpointId {
     Names.check("endpoint", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/FencingNumber.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/FencingNumber.java
@@ -1,7 +1,8 @@
 package io.sequoiapass.coordination;
 
 /**
- * Orders the owners of an endpoint in time: an order with a lower number comes from a former owner.
+ * Fencing token that orders the successive owners of an endpoint; an order with a lower number
+ * comes from a former owner.
  *
  * <p>The number is the version that the platform gave to the ownership table. Instances are
  * immutable and safe for use by several threads.
@@ -10,7 +11,7 @@
  */
 public record FencingNumber(long value) implements Comparable<FencingNumber> {
 
-  /** The number before any ownership table was written. */
+  /** The number before the first ownership table is written. */
   public static final FencingNumber NONE = new FencingNumber(0);
 
   /** Checks the number. */
--- a/coordination/src/main/java/io/sequoiapass/coordination/HostId.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/HostId.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one host.
+ * Identifier of a host.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record HostId(String value) implements Comparable<HostId> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public HostId {
     Names.check("host", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/IdempotencyKey.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/IdempotencyKey.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one piece of work that its caller never wants to run twice.
+ * Caller-supplied key of work that must run at most once.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record IdempotencyKey(String value) implements Comparable<IdempotencyKey> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public IdempotencyKey {
     Names.check("idempotency key", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/MillisClock.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/MillisClock.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells the time in whole milliseconds.
+ * Clock with millisecond resolution.
  *
  * <pre>{@code
  * MillisClock clock = MillisClock.monotonic();
@@ -15,18 +15,19 @@
 @FunctionalInterface
 public interface MillisClock {
 
-  /** Returns the time in milliseconds since an origin that the clock chooses. */
+  /** Returns the time in milliseconds since an arbitrary origin. */
   long millis();
 
   /**
-   * Returns a clock that never goes back; its origin differs from process to process. Leases,
-   * timeouts and deadlines use it, since a step of the wall clock would lapse them all at once.
+   * Returns a clock that never moves backwards; its origin differs between processes. Leases,
+   * timeouts and deadlines use it, since a step of the wall clock would expire all of them at the
+   * same time.
    */
   static MillisClock monotonic() {
     return () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Returns the wall clock, in milliseconds since 1970; only for what people read. */
+  /** Returns the wall clock, in milliseconds since 1970; only for times that people read. */
   static MillisClock wall() {
     return System::currentTimeMillis;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/ModelId.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/ModelId.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one base model that adapters refine.
+ * Identifier of a base model that adapters are trained for.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record ModelId(String value) implements Comparable<ModelId> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public ModelId {
     Names.check("model", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/Names.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/Names.java
@@ -1,10 +1,11 @@
 package io.sequoiapass.coordination;
 
-/** Checks the text of identifiers. */
+/** Validates the text of identifiers. */
 final class Names {
 
   /**
-   * Longest identifier, in characters: what fits a header line and a log line with room to spare.
+   * Maximum length of an identifier, in characters; fits in a header line and a log line with room
+   * to spare.
    */
   static final int MAX_LENGTH = 200;
 
@@ -24,7 +25,10 @@
     }
   }
 
-  /** Written as a loop: every token that passes a daemon is checked by it, four times over. */
+  /**
+   * Loops over the characters for speed: this runs four times for each token that passes through a
+   * daemon.
+   */
   private static boolean isPrintable(String value) {
     for (int i = 0; i < value.length(); i++) {
       char c = value.charAt(i);
--- a/coordination/src/main/java/io/sequoiapass/coordination/OperationId.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/OperationId.java
@@ -1,15 +1,16 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one write to the platform, so that a retry recognises its own change.
+ * Identifier of a write to the platform; a retry uses it to detect that an earlier attempt was
+ * applied.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record OperationId(String value) implements Comparable<OperationId> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public OperationId {
     Names.check("operation", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/RequestId.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/RequestId.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one request for its whole life, over every hop and attempt.
+ * Identifier of a request, the same over every hop and attempt.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record RequestId(String value) implements Comparable<RequestId> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public RequestId {
     Names.check("request", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/ServiceId.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/ServiceId.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one service: the application on whose behalf callers send requests.
+ * Identifier of a service: the application on whose behalf callers send requests.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record ServiceId(String value) implements Comparable<ServiceId> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public ServiceId {
     Names.check("service", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/VersionId.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/VersionId.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.coordination;
 
 /**
- * Names one version of an adapter's weights.
+ * Identifier of a version of an adapter's weights.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param value the name, not blank
+ * @param value the identifier, not blank
  */
 public record VersionId(String value) implements Comparable<VersionId> {
 
-  /** Checks the name. */
+  /** Checks the identifier. */
   public VersionId {
     Names.check("version", value);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/package-info.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/package-info.java
@@ -1,2 +1,2 @@
-/** Identifiers and the clock that all coordination parts share. */
+/** Identifiers and the clock shared by all coordination packages. */
 package io.sequoiapass.coordination;
--- a/coordination/src/test/java/io/sequoiapass/coordination/AdapterVersionTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/AdapterVersionTest.java
@@ -15,7 +15,7 @@
 class AdapterVersionTest {
 
   @Property(tries = 50, seed = "1")
-  void parseReadsWhatToStringWrites(
+  void parseInvertsToString(
       @ForAll @AlphaChars @StringLength(min = 1, max = 20) String adapter,
       @ForAll @AlphaChars @StringLength(min = 1, max = 20) String version) {
     AdapterVersion written = AdapterVersion.parse(adapter + "@" + version);
@@ -23,18 +23,18 @@
   }
 
   @Nested
-  class Refusals {
+  class InvalidText {
 
     @ParameterizedTest
     @ValueSource(strings = {"", "a", "@v", "a@"})
-    void textWithoutBothPartsIsNamedInTheMessage(String text) {
+    void messageContainsTextWithMissingPart(String text) {
       assertThatThrownBy(() -> AdapterVersion.parse(text))
           .isInstanceOf(IllegalArgumentException.class)
           .hasMessageContaining(text);
     }
 
     @Test
-    void spacesAreRefused() {
+    void rejectsSpaces() {
       assertThatThrownBy(() -> AdapterVersion.parse("a b@v")).hasMessageContaining("a b");
     }
   }
