--- a/coordination/src/main/java/io/sequoiapass/coordination/process/Assignment.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/Assignment.java
@@ -7,10 +7,11 @@
 import java.util.Optional;
 
 /**
- * Picks owners by weighted rendezvous, none far above its share.
+ * Assigns endpoints to daemons by weighted rendezvous hashing with bounded loads.
  *
- * <p>Plain rendezvous leaves some daemon of 17 with half as much again as the mean of 30 endpoints;
- * the bound passes what is above to the next-ranked. Not thread-safe; made for one decision.
+ * <p>Without the bound, one of 17 daemons receives up to 1.5 times the mean of 30 endpoints. With
+ * it, endpoints above the bound go to the next-ranked daemon. Not thread-safe; create one instance
+ * per decision.
  */
 final class Assignment {
 
@@ -19,20 +20,23 @@
   private final double endpointsPerWeight;
 
   Assignment(
-      Map<DaemonId, Candidate> candidates, OwnershipTable table, int endpoints, double factor) {
+      Map<DaemonId, Candidate> candidates, OwnershipTable table, int endpoints, double loadFactor) {
     this.candidates = candidates;
     table.owners().values().forEach(owner -> counts.merge(owner, 1, Integer::sum));
     double total = candidates.values().stream().mapToDouble(Candidate::weight).sum();
-    this.endpointsPerWeight = total > 0 ? factor * endpoints / total : 0;
+    this.endpointsPerWeight = total > 0 ? loadFactor * endpoints / total : 0;
   }
 
-  /** Returns the best daemon that has room, and counts the endpoint as its own. */
-  Optional<DaemonId> assign(EndpointId endpoint, Optional<DaemonId> holder) {
+  /**
+   * Returns the highest-ranked daemon below its bound and counts the endpoint towards its load. The
+   * current owner is accepted even at its bound.
+   */
+  Optional<DaemonId> assign(EndpointId endpoint, Optional<DaemonId> currentOwner) {
     Optional<DaemonId> chosen =
         RendezvousHash.rank(endpoint.value(), candidates.keySet(), this::weight).stream()
-            .filter(daemon -> holder.filter(daemon::equals).isPresent() || hasRoom(daemon))
+            .filter(daemon -> currentOwner.filter(daemon::equals).isPresent() || hasRoom(daemon))
             .findFirst();
-    chosen.ifPresent(daemon -> move(holder, daemon));
+    chosen.ifPresent(daemon -> move(currentOwner, daemon));
     return chosen;
   }
 
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/Candidate.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/Candidate.java
@@ -1,12 +1,12 @@
 package io.sequoiapass.coordination.process;
 
 /**
- * A daemon process that may be given endpoints.
+ * Daemon process that endpoints may be assigned to.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param weight the share of endpoints it is to have, relative to the others'
- * @param incarnation the process's number under its daemon's name
+ * @param weight its share of endpoints, relative to other candidates
+ * @param incarnation the incarnation of the daemon
  */
 public record Candidate(double weight, long incarnation) {
 
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/DeputyRule.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/DeputyRule.java
@@ -8,17 +8,19 @@
 import java.util.TreeSet;
 
 /**
- * Finds who serves an endpoint, also when its owner died and the platform cannot name another.
+ * Selects the daemon that serves an endpoint, including while its owner is dead and the platform is
+ * out, so that no new owner can be recorded.
  *
  * <pre>{@code
- * DeputyRule rule = DeputyRule.create(self);
- * Optional<DaemonId> server = rule.server(endpoint, table, membership, contact.isOut(now));
+ * DeputyRule selector = DeputyRule.create(self);
+ * Optional<DaemonId> server = selector.server(endpoint, table, membership, contact.isOut(now));
  * }</pre>
  *
- * <p>Daemons that see different members may name different deputies, and a deputy may stand in for
- * an owner that is only cut off. Neither harms: deputies give no orders, and an owner that does not
- * hear everyone reads the engine's state before it evicts ({@link Membership#isEveryoneHeard}).
- * Instances are immutable and safe for use by several threads; the membership they look at is not.
+ * <p>Daemons with different views of the membership may select different backup owners, and a
+ * backup owner may serve in place of an owner that is only partitioned. Both are safe: backup
+ * owners send no orders, and an owner that does not receive heartbeats from every peer reads the
+ * engine's state before it evicts ({@link Membership#isEveryoneHeard}). Instances are immutable and
+ * safe for use by several threads; the membership passed to them is not.
  */
 public final class DeputyRule {
 
@@ -29,7 +31,7 @@
   }
 
   /**
-   * Returns a rule.
+   * Returns a selector.
    *
    * @param self the daemon
    */
@@ -38,18 +40,18 @@
   }
 
   /**
-   * Returns the daemon that serves an endpoint: its owner, or its deputy during an outage.
+   * Returns the daemon that serves an endpoint: its owner, or its backup owner during an outage.
    *
    * @param endpoint the endpoint
-   * @param table the newest known table
+   * @param table the newest ownership table that this daemon holds
    * @param membership the daemon's view of its peers
    * @param platformOut whether the platform is out for the daemon
    */
   public Optional<DaemonId> server(
       EndpointId endpoint, OwnershipTable table, Membership membership, boolean platformOut) {
     Optional<DaemonId> owner = table.owner(endpoint);
-    boolean orphaned = owner.isEmpty() || isDead(owner.get(), membership);
-    if (!orphaned || !platformOut) {
+    boolean ownerless = owner.isEmpty() || isDead(owner.get(), membership);
+    if (!ownerless || !platformOut) {
       return owner;
     }
     Set<DaemonId> alive = new TreeSet<>(membership.candidates());
@@ -57,14 +59,14 @@
     return RendezvousHash.first(endpoint.value(), alive);
   }
 
-  /** Returns what the daemon itself is to an endpoint. */
+  /** Returns the role of this daemon for an endpoint. */
   public ServingRole role(
       EndpointId endpoint, OwnershipTable table, Membership membership, boolean platformOut) {
     if (table.owner(endpoint).filter(self::equals).isPresent()) {
       return ServingRole.OWNER;
     }
     Optional<DaemonId> server = server(endpoint, table, membership, platformOut);
-    return server.filter(self::equals).isPresent() ? ServingRole.DEPUTY : ServingRole.NONE;
+    return server.filter(self::equals).isPresent() ? ServingRole.BACKUP_OWNER : ServingRole.NONE;
   }
 
   private boolean isDead(DaemonId owner, Membership membership) {
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/FencePolicy.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/FencePolicy.java
@@ -2,32 +2,34 @@
 
 /** Whether an endpoint refuses orders that carry an old fencing number. */
 public enum FencePolicy {
-  /** Refuses them, so a late order does nothing and the owner may go on without a lease. */
+  /**
+   * Refuses them. A delayed order has no effect, so the owner may continue without a valid lease.
+   */
   CHECKS {
     @Override
-    public OrderAuthority authority(LeaseStanding standing) {
-      return switch (standing) {
+    public OrderAuthority authority(LeaseStanding status) {
+      return switch (status) {
         case VALID, STARTING, LAPSED, LAPSED_FOR_ALL -> OrderAuthority.FULL;
         case NOT_HELD, SUPERSEDED -> OrderAuthority.NONE;
       };
     }
   },
-  /** Runs them, so only the lease keeps a former owner from harm. */
+  /** Runs them. Only the lease prevents a former owner from sending harmful orders. */
   IGNORES {
     @Override
-    public OrderAuthority authority(LeaseStanding standing) {
-      return switch (standing) {
+    public OrderAuthority authority(LeaseStanding status) {
+      return switch (status) {
         case VALID, LAPSED_FOR_ALL -> OrderAuthority.FULL;
-        case LAPSED, STARTING -> OrderAuthority.HARMLESS_ONLY;
+        case LAPSED, STARTING -> OrderAuthority.NON_DESTRUCTIVE;
         case NOT_HELD, SUPERSEDED -> OrderAuthority.NONE;
       };
     }
   };
 
   /**
-   * Returns which orders an owner may give.
+   * Returns which orders an owner may send.
    *
-   * @param standing how the owner's lease stands
+   * @param status the status of the owner's lease
    */
-  public abstract OrderAuthority authority(LeaseStanding standing);
+  public abstract OrderAuthority authority(LeaseStanding status);
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/HostHint.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/HostHint.java
@@ -1,22 +1,25 @@
 package io.sequoiapass.coordination.process;
 
-/** What the platform's host list says of a daemon's host; the list lags, so it proves nothing. */
+/**
+ * State of a daemon's host in the platform's host list. The list lags, so it shortens timeouts but
+ * proves nothing.
+ */
 public enum HostHint {
   /** Listed as live. */
   LIVE(1),
-  /** Listed as leaving: its silence is believed sooner. */
+  /** Listed as leaving; timeouts are halved. */
   LEAVING(2),
-  /** Not listed any more: its silence is believed sooner. */
+  /** Missing from the list; timeouts are halved. */
   ABSENT(2);
 
-  private final int haste;
+  private final int timeoutDivisor;
 
-  HostHint(int haste) {
-    this.haste = haste;
+  HostHint(int timeoutDivisor) {
+    this.timeoutDivisor = timeoutDivisor;
   }
 
-  /** Returns how long a silence is borne, where {@code millis} is borne without a hint. */
-  long patience(long millis) {
-    return millis / haste;
+  /** Returns the failure timeout for a host with this hint, given the timeout without a hint. */
+  long scaleTimeout(long timeoutMillis) {
+    return timeoutMillis / timeoutDivisor;
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseAction.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseAction.java
@@ -5,29 +5,29 @@
 import java.util.Optional;
 
 /**
- * A call to the platform that {@link LeaseKeeper} asks for.
+ * Call to the platform requested by {@link LeaseKeeper}.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
 public sealed interface LeaseAction {
 
-  /** Returns the peer that is to relay the call; the daemon calls by itself if there is none. */
+  /** Returns the peer that relays the call; empty if the daemon calls the platform directly. */
   Optional<DaemonId> relay();
 
   /**
-   * Read the own lease object.
+   * Read of the daemon's own lease object.
    *
-   * @param relay the peer that is to relay the call
+   * @param relay the peer that relays the call; empty for a direct call
    */
   record Read(Optional<DaemonId> relay) implements LeaseAction {}
 
   /**
-   * Write the own lease object.
+   * Conditional write of the daemon's own lease object.
    *
-   * @param operation the write's name
+   * @param operation the identifier of the write
    * @param expectedVersion the version the object must have; 0 if it must not exist
-   * @param lease the value
-   * @param relay the peer that is to relay the call
+   * @param lease the new value
+   * @param relay the peer that relays the call; empty for a direct call
    */
   record Renew(
       OperationId operation, long expectedVersion, LeaseRecord lease, Optional<DaemonId> relay)
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseKeeper.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseKeeper.java
@@ -12,18 +12,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps a daemon's own lease and tells, right before each order, whether it may still be given.
+ * Acquires, renews and releases a daemon's own lease, and decides before each order whether the
+ * lease permits it.
  *
  * <pre>{@code
- * keeper.tick(now).ifPresent(platform::call);
- * keeper.renewalAnswered(now, operation, new WriteAnswer.Stored(version));
- * if (keeper.mayOrder(clock.millis(), FencePolicy.IGNORES, OrderKind.UNLOAD)) { ... }
+ * manager.tick(now).ifPresent(platform::call);
+ * manager.renewalAnswered(now, operation, new WriteAnswer.Stored(version));
+ * if (manager.mayOrder(clock.millis(), FencePolicy.IGNORES, OrderKind.UNLOAD)) { ... }
  * }</pre>
  *
- * <p>A renewal counts from before its call was sent, so the holder's lease always ends before any
- * observer's view of it. A lease that ran out is whole again only once it is renewed <em>and</em>
- * an ownership table newer than that renewal is known: the newer version defeats a takeover that
- * was decided during the lapse and is still on its way. Not thread-safe; one shard drives it.
+ * <p>The validity of a renewal counts from before its call is sent, so the lease always ends for
+ * its holder before it ends for any observer. An expired lease is valid again only once it is
+ * renewed <em>and</em> an ownership table newer than that renewal is received: the newer version
+ * causes a conflict for a takeover that was decided while the lease was expired and whose write is
+ * still in flight. Not thread-safe; confined to one shard.
  */
 public final class LeaseKeeper {
 
@@ -33,29 +35,30 @@
   private final DaemonId self;
   private final String address;
   private final PlatformContact contact;
-  private final OutageEvidence evidence;
+  private final PlatformOutageDetector outageDetector;
   private final Backoff backoff;
   private final RandomGenerator random;
 
-  // Two processes of one name that start at once draw the same incarnation from the same former
-  // lease; equal operation ids would let both take the one write for their own.
+  // Two processes with the same daemon name that start at the same time derive the same incarnation
+  // from the same previous lease. With equal operation ids, both would treat the one write as their
+  // own.
   private final String nonce;
 
   private long incarnation;
   private LeaseState state = LeaseState.ACTIVE;
-  private boolean ownVersionKnown;
-  private boolean readOnce;
+  private boolean versionKnown;
+  private boolean readCompleted;
   private long version;
   private long renewals;
   private long operations;
 
   private LeaseRecord pendingValue;
   private ConditionalWrite pending;
-  private boolean callOpen;
+  private boolean callInFlight;
   private long firstSentAt;
   private long sentAt;
   private Optional<DaemonId> relay = Optional.empty();
-  private Optional<DaemonId> lastRelay = Optional.empty();
+  private Optional<DaemonId> previousRelay = Optional.empty();
   private long nextCallAt;
 
   private boolean acquired;
@@ -64,12 +67,12 @@
   private long validUntil;
   private long tableVersion;
 
-  private long predecessorUntil = Long.MIN_VALUE;
+  private long predecessorActiveUntil = Long.MIN_VALUE;
   private boolean unconfirmed = true;
-  private long confirmAbove = Long.MAX_VALUE;
+  private long confirmAboveVersion = Long.MAX_VALUE;
 
-  private long lastSeen;
-  private long pausedAt = Long.MIN_VALUE;
+  private long lastObservedAt;
+  private long pauseDetectedAt = Long.MIN_VALUE;
 
   private LeaseKeeper(
       LeaseSettings settings,
@@ -86,21 +89,22 @@
     this.nonce = Long.toHexString(random.nextLong());
     this.random = Objects.requireNonNull(random, "random");
     this.contact = Objects.requireNonNull(contact, "contact");
-    this.evidence = new OutageEvidence(settings, self);
-    this.backoff = Backoff.create(BACKOFF_BASE_MILLIS, settings.renewEveryMillis(), random);
+    this.outageDetector = new PlatformOutageDetector(settings, self);
+    this.backoff = Backoff.create(BACKOFF_BASE_MILLIS, settings.renewIntervalMillis(), random);
     this.nextCallAt = now;
-    this.lastSeen = now;
+    this.lastObservedAt = now;
   }
 
   /**
-   * Returns a keeper that holds no lease yet.
+   * Returns a manager that holds no lease yet.
    *
-   * @param settings the times
+   * @param settings the timing settings
    * @param self the daemon
-   * @param address where peers reach it
-   * @param incarnation its process's number; raised when a former lease shows a higher one
+   * @param address the daemon's address for peer connections
+   * @param incarnation the incarnation of the daemon; raised if a previous lease has the same or a
+   *     higher one
    * @param random the source of jitter
-   * @param contact the daemon's contact with the platform
+   * @param contact tracks whether the daemon reaches the platform
    * @param now the time
    */
   public static LeaseKeeper create(
@@ -115,158 +119,162 @@
   }
 
   /**
-   * Lets time pass.
+   * Advances the time and returns the call that is due.
    *
    * @param now the time
    * @return the call to make, if one is due
    */
   public Optional<LeaseAction> tick(long now) {
-    look(now);
-    if (callOpen && now - sentAt >= settings.callTimeoutMillis()) {
+    observeTime(now);
+    if (callInFlight && now - sentAt >= settings.callTimeoutMillis()) {
       callFailed(now);
     }
-    if (callOpen || superseded || released || now < nextCallAt) {
+    if (callInFlight || superseded || released || now < nextCallAt) {
       return Optional.empty();
     }
-    callOpen = true;
+    callInFlight = true;
     sentAt = now;
-    return Optional.of(ownVersionKnown ? renew(now) : new LeaseAction.Read(relay));
+    return Optional.of(versionKnown ? renew(now) : new LeaseAction.Read(relay));
   }
 
   /**
-   * Takes in the answer to a {@link LeaseAction.Read}.
+   * Handles the answer to a {@link LeaseAction.Read}.
    *
    * @param now the time
-   * @param stored the own lease object; empty if there is none
+   * @param stored the own lease object; empty if it does not exist
    */
   public void readAnswered(long now, Optional<StoredLease> stored) {
-    look(now);
-    if (ownVersionKnown) {
+    observeTime(now);
+    if (versionKnown) {
       return;
     }
     callSucceeded(now);
     LeaseRecord former = stored.map(StoredLease::lease).orElse(null);
-    // A process that was frozen before its first lease finds on waking that a newer one holds the
-    // name. Taking the name back would stop the one that serves; so only the first read raises the
-    // number, which covers a wall clock set back between two starts.
+    // A process that was frozen before it acquired its first lease can find after its pause that a
+    // newer process holds the lease. Reclaiming it would stop the process that serves. So only the
+    // first read raises the incarnation, which suffices for a wall clock that was set back between
+    // two starts.
     boolean replaced = former != null && former.incarnation() > incarnation;
-    if (replaced && readOnce) {
+    if (replaced && readCompleted) {
       superseded = true;
       return;
     }
     if (former != null && !acquired) {
       incarnation = Math.max(incarnation, former.incarnation() + 1);
-      // A frozen former process under this name may wake and go on ordering until its lease ends.
-      // It last renewed before this moment, so one duration from now it has stopped.
-      predecessorUntil = now + Math.max(settings.durationMillis(), former.durationMillis());
+      // A frozen previous process with this daemon name may resume and send orders until its lease
+      // ends. Its last renewal precedes this read, so it stops at most one lease duration from now.
+      predecessorActiveUntil = now + Math.max(settings.durationMillis(), former.durationMillis());
     }
     version = stored.map(StoredLease::version).orElse(0L);
-    readOnce = true;
-    ownVersionKnown = true;
+    readCompleted = true;
+    versionKnown = true;
     nextCallAt = now;
   }
 
-  /** Takes in that a {@link LeaseAction.Read} failed. */
+  /** Handles the failure of a {@link LeaseAction.Read}. */
   public void readFailed(long now) {
-    look(now);
-    if (callOpen && !ownVersionKnown) {
+    observeTime(now);
+    if (callInFlight && !versionKnown) {
       callFailed(now);
     }
   }
 
   /**
-   * Takes in what came back from a {@link LeaseAction.Renew}.
+   * Handles the answer to a {@link LeaseAction.Renew}.
    *
    * @param now the time
-   * @param operation the write's name
-   * @param answer what came back
-   * @return what became of the write; empty for an answer to an older write
+   * @param operation the identifier of the write
+   * @param answer the answer, or that it was lost
+   * @return the outcome of the write; empty for an answer to an earlier write
    */
   public Optional<WriteDecision> renewalAnswered(
       long now, OperationId operation, WriteAnswer answer) {
-    look(now);
+    observeTime(now);
     if (pending == null || !pending.operation().equals(operation)) {
       return Optional.empty();
     }
     WriteDecision decision = pending.answered(answer);
     switch (decision.outcome()) {
-      case APPLIED -> applied(now, decision.version());
-      case CONFLICT -> conflicted(now);
-      case RETRY -> retryLater(now, answer);
+      case APPLIED -> renewalApplied(now, decision.version());
+      case CONFLICT -> renewalConflicted(now);
+      case RETRY -> scheduleRetry(now, answer);
       default -> throw new AssertionError(decision.outcome());
     }
     return Optional.of(decision);
   }
 
-  /** Takes in the version of an ownership table read from the platform, or had from a peer. */
-  public void tableSeen(long seenVersion) {
-    tableVersion = Math.max(tableVersion, seenVersion);
-    if (unconfirmed && tableVersion > confirmAbove) {
+  /** Handles the version of an ownership table received from the platform or from a peer. */
+  public void tableSeen(long receivedVersion) {
+    tableVersion = Math.max(tableVersion, receivedVersion);
+    if (unconfirmed && tableVersion > confirmAboveVersion) {
       unconfirmed = false;
     }
   }
 
   /**
-   * Takes in which daemons could take over from this one: all of its data centre's leases.
+   * Sets the daemons that could take over from this one: all that hold leases in its data centre.
    *
-   * @param daemons the daemons; the own one may be among them
+   * @param daemons the daemons; may include this one
    */
   public void dataCentreIs(Set<DaemonId> daemons) {
-    evidence.dataCentreIs(daemons);
+    outageDetector.setMembers(daemons);
   }
 
   /**
-   * Takes in what a peer's heartbeat says of the platform.
+   * Handles the platform report of a peer's heartbeat.
    *
    * @param peer the peer
-   * @param report what it says
+   * @param report the report
    */
   public void peerReported(DaemonId peer, PlatformReport report) {
-    evidence.reported(peer, report);
+    outageDetector.reportReceived(peer, report);
   }
 
-  /** Says with the next renewal, which is due at once, that the daemon takes no more endpoints. */
+  /**
+   * Declares with the next renewal, which becomes due immediately, that the daemon accepts no more
+   * endpoints.
+   */
   public void drain(long now) {
     state = LeaseState.DRAINING;
     nextCallAt = Math.min(nextCallAt, now);
   }
 
   /**
-   * Gives the lease up for good; the daemon may then delete the object at {@link #version}, once no
-   * renewal {@link #isRenewalOpen is open} that would change the version.
+   * Releases the lease permanently. The daemon may then delete the object at {@link #version}, once
+   * no renewal {@link #isRenewalOpen is in flight} that would change the version.
    */
   public void release() {
     released = true;
   }
 
-  /** Returns whether a renewal was sent whose answer may still come. */
+  /** Returns whether a renewal is in flight. */
   public boolean isRenewalOpen() {
-    return pending != null && callOpen;
+    return pending != null && callInFlight;
   }
 
-  /** Returns how the lease stands. */
+  /** Returns the status of the lease. */
   public LeaseStanding standing(long now) {
-    look(now);
+    observeTime(now);
     if (superseded) {
       return LeaseStanding.SUPERSEDED;
     }
     if (!acquired || released) {
       return LeaseStanding.NOT_HELD;
     }
-    if (now < predecessorUntil) {
+    if (now < predecessorActiveUntil) {
       return LeaseStanding.STARTING;
     }
-    if (remainingMillis(now) > 0 && !unconfirmed && pausedAt == Long.MIN_VALUE) {
+    if (remainingMillis(now) > 0 && !unconfirmed && pauseDetectedAt == Long.MIN_VALUE) {
       return LeaseStanding.VALID;
     }
-    return contact.isOut(now) && evidence.isOutForAll(now, tableVersion)
+    return contact.isOut(now) && outageDetector.isOutForDataCentre(now, tableVersion)
         ? LeaseStanding.LAPSED_FOR_ALL
         : LeaseStanding.LAPSED;
   }
 
   /**
-   * Returns which orders may be given to an endpoint that the newest known table gives to this
-   * daemon.
+   * Returns which orders may be sent to an endpoint that this daemon owns in the newest table it
+   * holds.
    *
    * @param now the time
    * @param policy whether the endpoint refuses old fencing numbers
@@ -276,9 +284,9 @@
   }
 
   /**
-   * Returns whether an order may be given; to be asked right before the write. What is left is the
-   * time between this answer and the write reaching the endpoint; the margin covers all of it but a
-   * pause that begins just there.
+   * Returns whether an order may be sent; to be called immediately before the write. The remaining
+   * risk is the delay between this check and the arrival of the write at the endpoint; the lease
+   * margin covers it, except for a process pause that starts in between.
    *
    * @param now the time
    * @param policy whether the endpoint refuses old fencing numbers
@@ -289,9 +297,9 @@
   }
 
   /**
-   * Returns whether this process may give its endpoints away. A handover is safe because the owner
-   * stops its own orders first; a process whose predecessor under the name may still order can't
-   * stop those.
+   * Returns whether this process may hand over its endpoints. A handover is safe because the owner
+   * stops its own orders first; a process cannot stop the orders of a predecessor with the same
+   * daemon name.
    *
    * @param now the time
    */
@@ -302,32 +310,38 @@
     };
   }
 
-  /** Returns the time left of the lease, without the margin; 0 once it ran out. */
+  /**
+   * Returns the remaining time of the lease in milliseconds, without the margin; 0 once it has
+   * expired.
+   */
   public long remainingMillis(long now) {
     return acquired ? Math.max(0, validUntil - settings.marginMillis() - now) : 0;
   }
 
-  /** Returns whether the daemon may be given endpoints: its lease has time left, and it stays. */
+  /**
+   * Returns whether endpoints may be assigned to the daemon: its lease has time remaining, and it
+   * is not stopping.
+   */
   public boolean isCandidate(long now) {
-    look(now);
+    observeTime(now);
     return remainingMillis(now) > 0 && state == LeaseState.ACTIVE && !superseded && !released;
   }
 
   /**
-   * Returns whether a newer ownership table is needed before the lease is whole, so that the daemon
-   * has to write one if nobody else does.
+   * Returns whether the lease needs a newer ownership table to become valid. The daemon then has to
+   * write one unless another daemon does.
    */
   public boolean needsTable(long now) {
-    look(now);
-    return unconfirmed && confirmAbove != Long.MAX_VALUE && !superseded && !released;
+    observeTime(now);
+    return unconfirmed && confirmAboveVersion != Long.MAX_VALUE && !superseded && !released;
   }
 
-  /** Returns the newest version of the own lease object that is known to be applied. */
+  /** Returns the newest version of the own lease object that is known to be stored. */
   public long version() {
     return version;
   }
 
-  /** Returns the number of this process under its name. */
+  /** Returns the incarnation of the daemon. */
   public long incarnation() {
     return incarnation;
   }
@@ -345,32 +359,32 @@
     return new LeaseAction.Renew(pending.operation(), version, pendingValue, relay);
   }
 
-  private void applied(long now, long appliedVersion) {
+  private void renewalApplied(long now, long appliedVersion) {
     callSucceeded(now);
     renewals = pendingValue.renewals();
-    boolean sentAfterPause = firstSentAt >= pausedAt;
+    boolean sentAfterPause = firstSentAt >= pauseDetectedAt;
     pending = null;
     version = appliedVersion;
     acquired = true;
     validUntil = firstSentAt + settings.durationMillis();
-    nextCallAt = sentAfterPause ? firstSentAt + jittered(settings.renewEveryMillis()) : now;
+    nextCallAt = sentAfterPause ? firstSentAt + jittered(settings.renewIntervalMillis()) : now;
     if (sentAfterPause) {
-      pausedAt = Long.MIN_VALUE;
+      pauseDetectedAt = Long.MIN_VALUE;
     }
-    if (unconfirmed && confirmAbove == Long.MAX_VALUE) {
-      confirmAbove = appliedVersion;
+    if (unconfirmed && confirmAboveVersion == Long.MAX_VALUE) {
+      confirmAboveVersion = appliedVersion;
       tableSeen(tableVersion);
     }
   }
 
-  private void conflicted(long now) {
+  private void renewalConflicted(long now) {
     callSucceeded(now);
     pending = null;
-    ownVersionKnown = false;
+    versionKnown = false;
     nextCallAt = now;
   }
 
-  private void retryLater(long now, WriteAnswer answer) {
+  private void scheduleRetry(long now, WriteAnswer answer) {
     callFailed(now);
     if (answer instanceof WriteAnswer.Throttled throttled) {
       nextCallAt = Math.max(nextCallAt, now + throttled.retryAfterMillis());
@@ -378,20 +392,21 @@
   }
 
   private void callSucceeded(long now) {
-    callOpen = false;
+    callInFlight = false;
     contact.succeeded(now);
     backoff.reset();
   }
 
-  // A daemon that alone is cut off from the platform would lose its endpoints although its peers
-  // hear it. So after a failure the next try goes through a peer, and then directly again.
+  // A daemon that alone cannot reach the platform would lose its endpoints although its peers can
+  // reach it. So after a failed direct call the next one is relayed by a peer, and after a failed
+  // relayed call the next one is direct.
   private void callFailed(long now) {
-    callOpen = false;
+    callInFlight = false;
     if (relay.isPresent()) {
-      lastRelay = relay;
+      previousRelay = relay;
       relay = Optional.empty();
     } else {
-      relay = evidence.relay(now, lastRelay);
+      relay = outageDetector.selectRelay(now, previousRelay);
     }
     nextCallAt = now + backoff.nextDelayMillis();
   }
@@ -400,19 +415,19 @@
     return millis - random.nextLong(millis / 8 + 1);
   }
 
-  // A process that was frozen goes on in the middle of what it did, with checks that it made
-  // before. The gap in its own clock shows it; orders stop until a renewal sent after the gap is
-  // applied. A gap between this check and the write itself stays open: see
+  // A frozen process resumes in the middle of an operation and relies on checks made before the
+  // pause. The gap between two clock readings reveals the pause; orders stop until a renewal sent
+  // after the gap is applied. A pause between this check and the write itself is not detected: see
   // docs/design/ownership.md.
-  private void look(long now) {
-    if (now - lastSeen > settings.maxPauseMillis()) {
-      pausedAt = now;
+  private void observeTime(long now) {
+    if (now - lastObservedAt > settings.maxPauseMillis()) {
+      pauseDetectedAt = now;
       nextCallAt = Math.min(nextCallAt, now);
     }
-    lastSeen = Math.max(lastSeen, now);
+    lastObservedAt = Math.max(lastObservedAt, now);
     if (acquired && remainingMillis(now) == 0) {
       unconfirmed = true;
-      confirmAbove = Long.MAX_VALUE;
+      confirmAboveVersion = Long.MAX_VALUE;
     }
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseObserver.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseObserver.java
@@ -9,172 +9,181 @@
 import java.util.TreeSet;
 
 /**
- * Judges other daemons' leases by the own clock, from when each was last seen to change.
+ * Determines by the local clock whether other daemons' leases have expired, based on when each
+ * version was first observed.
  *
  * <pre>{@code
  * observer.heartbeatCarried(now, peer, report.leaseVersion());
  * for (DaemonId daemon : observer.toCheck(now, owners)) { ... read its lease object ... }
  * observer.leaseRead(sentAt, now, daemon, version);
- * boolean lapsed = observer.hasLapsed(now, daemon, tableReceivedAt);
+ * boolean expired = observer.hasLapsed(now, daemon, tableReceivedAt);
  * }</pre>
  *
- * <p>Heartbeats carry the version of each lease, so that nothing is read from the platform while
- * all is well. Heartbeats only make a lease look longer; that it ran out takes a read sent a whole
- * duration after the version was learned. No clocks are compared. Not thread-safe; one shard drives
- * it.
+ * <p>Heartbeats carry the version of the sender's lease, so that no lease is read from the platform
+ * in normal operation. Heartbeats can only extend a lease; its expiry requires a read that was sent
+ * at least one lease duration after the version was first observed. Clocks of different processes
+ * are not compared. Not thread-safe; confined to one shard.
  */
 public final class LeaseObserver {
 
   private final long durationMillis;
-  private final long checkEveryMillis;
+  private final long checkIntervalMillis;
   private final PlatformContact contact;
   private final Map<DaemonId, Observation> observations = new TreeMap<>();
 
   private LeaseObserver(LeaseSettings settings, PlatformContact contact) {
     this.durationMillis = settings.durationMillis();
-    this.checkEveryMillis = settings.marginMillis();
+    this.checkIntervalMillis = settings.marginMillis();
     this.contact = Objects.requireNonNull(contact, "contact");
   }
 
   /**
-   * Returns an observer that has seen no lease.
+   * Returns an observer that holds no lease versions.
    *
-   * @param settings the times; the same for every daemon of the fleet
-   * @param contact the daemon's contact with the platform
+   * @param settings the timing settings; the same for every daemon of the fleet
+   * @param contact tracks whether the daemon reaches the platform
    */
   public static LeaseObserver create(LeaseSettings settings, PlatformContact contact) {
     return new LeaseObserver(settings, contact);
   }
 
   /**
-   * Takes in the version of its lease that a daemon's heartbeat carried.
+   * Handles the lease version of a daemon's heartbeat.
    *
    * @param now the time
    * @param daemon the daemon
-   * @param version the version; 0 for none
+   * @param version the version; 0 if the daemon holds no lease
    */
   public void heartbeatCarried(long now, DaemonId daemon, long version) {
-    Observation known = observations.get(daemon);
-    if (version > 0 && (known == null || version > known.version)) {
+    Observation observation = observations.get(daemon);
+    if (version > 0 && (observation == null || version > observation.version)) {
       observations.put(daemon, new Observation(version, now));
     }
   }
 
   /**
-   * Takes in a lease object that was read from the platform.
+   * Handles the answer to a read of a lease object.
    *
    * @param sentAt the time right before the read was sent
-   * @param receivedAt the time its answer came
+   * @param receivedAt the time its answer was received
    * @param daemon the holder
    * @param version the object's version; 0 if there is no such object
    */
   public void leaseRead(long sentAt, long receivedAt, DaemonId daemon, long version) {
-    Observation known = observations.get(daemon);
-    boolean gone = version == 0;
-    if (known == null || version > known.version || (gone && !known.gone)) {
-      Observation changed = new Observation(Math.max(version, versionOf(known)), receivedAt);
-      changed.gone = gone;
+    Observation observation = observations.get(daemon);
+    boolean deleted = version == 0;
+    if (observation == null || version > observation.version || (deleted && !observation.deleted)) {
+      Observation changed = new Observation(Math.max(version, versionOf(observation)), receivedAt);
+      changed.deleted = deleted;
       observations.put(daemon, changed);
-      known = changed;
+      observation = changed;
     }
-    if (gone || version == known.version) {
-      known.readSentAt = Math.max(known.readSentAt, sentAt);
+    if (deleted || version == observation.version) {
+      observation.readSentAt = Math.max(observation.readSentAt, sentAt);
     }
   }
 
   /**
-   * Takes in that a daemon has fallen silent: its lease is read once at once. It may have renewed
-   * after its last heartbeat; learned only when the older renewal runs out, that one would delay
-   * the takeover by another lease.
+   * Schedules an immediate read of a daemon's lease because its heartbeat is overdue. The daemon
+   * may have renewed its lease after its last heartbeat. If this renewal were observed only when
+   * the previous one expires, it would delay the takeover by another lease duration.
    *
    * @param daemon the daemon
    */
   public void fellSilent(DaemonId daemon) {
-    Observation known = observations.get(daemon);
-    if (known != null) {
-      known.readSoon = true;
+    Observation observation = observations.get(daemon);
+    if (observation != null) {
+      observation.readRequested = true;
     }
   }
 
   /**
-   * Returns the daemons whose lease objects are to be read now.
+   * Returns the daemons whose lease objects have to be read now.
    *
    * @param now the time
-   * @param daemons those whose leases matter: the owners in the table
-   * @param graceMillis how long after its duration a lease is left to other daemons to read
+   * @param daemons the daemons whose leases are relevant: the owners in the table
+   * @param graceMillis the time after expiry during which other daemons are expected to read the
+   *     lease
    */
   public Set<DaemonId> toCheck(long now, Collection<DaemonId> daemons, long graceMillis) {
     Set<DaemonId> due = new TreeSet<>();
     for (DaemonId daemon : daemons) {
-      Observation known = observations.get(daemon);
-      if (known == null) {
-        // Never heard of: from now on its silence is measured, as if it had just been seen.
-        known = new Observation(0, now);
-        known.checkAt = now + graceMillis;
-        observations.put(daemon, known);
+      Observation observation = observations.get(daemon);
+      if (observation == null) {
+        // Unknown daemon: its lease duration starts now, as if a version had just been observed.
+        observation = new Observation(0, now);
+        observation.checkAt = now + graceMillis;
+        observations.put(daemon, observation);
       }
-      boolean old = known.version == 0 || !isFresh(now - graceMillis, known);
-      boolean soon = known.readSoon && graceMillis == 0;
-      if ((old || soon) && now >= known.checkAt) {
+      boolean stale = observation.version == 0 || !isFresh(now - graceMillis, observation);
+      boolean requested = observation.readRequested && graceMillis == 0;
+      if ((stale || requested) && now >= observation.checkAt) {
         due.add(daemon);
-        known.readSoon = false;
-        known.checkAt = now + checkEveryMillis;
+        observation.readRequested = false;
+        observation.checkAt = now + checkIntervalMillis;
       }
     }
     return due;
   }
 
-  /** Returns whether a daemon's lease was seen to change within its duration. */
+  /** Returns whether a change of a daemon's lease was observed within the last lease duration. */
   public boolean isLive(long now, DaemonId daemon) {
-    Observation known = observations.get(daemon);
-    return known != null && known.version > 0 && !known.gone && isFresh(now, known);
+    Observation observation = observations.get(daemon);
+    return observation != null
+        && observation.version > 0
+        && !observation.deleted
+        && isFresh(now, observation);
   }
 
   /**
-   * Returns whether a daemon's lease is known to have run out, so that its endpoints may be taken.
+   * Returns whether a daemon's lease is known to have expired, so that its endpoints may be taken
+   * over.
    *
-   * <p>The deciding read must have been sent after the table on which the takeover is conditional
-   * was known: else a holder that came back and wrote that very table would lose its endpoints to a
-   * view from before. It must also follow a whole duration of contact, since peers take the word of
-   * this daemon that it had lost the platform and cannot take over yet.
+   * <p>The read must have been sent after the table on which the takeover is conditional was
+   * received; otherwise a holder that has recovered and written that table would lose its endpoints
+   * because of an outdated read. The daemon must also have reached the platform for a full lease
+   * duration before the read, since peers rely on its report that it could not reach the platform
+   * and cannot take over yet.
    *
    * @param now the time
    * @param daemon the holder
-   * @param tableReceivedAt when the ownership table was first known in its present version
+   * @param tableReceivedAt the time when the current version of the ownership table was first
+   *     received
    */
   public boolean hasLapsed(long now, DaemonId daemon, long tableReceivedAt) {
-    Observation known = observations.get(daemon);
-    if (known == null || contact.isOut(now) || known.readSentAt < tableReceivedAt) {
+    Observation observation = observations.get(daemon);
+    if (observation == null || contact.isOut(now) || observation.readSentAt < tableReceivedAt) {
       return false;
     }
-    return known.readSentAt >= Math.max(known.since, contact.since()) + durationMillis;
+    return observation.readSentAt
+        >= Math.max(observation.observedAt, contact.reachableSince()) + durationMillis;
   }
 
-  /** Forgets daemons that neither own endpoints nor are members. */
+  /** Removes all daemons but the given ones: the owners of endpoints and the members. */
   public void retain(Collection<DaemonId> daemons) {
     observations.keySet().retainAll(daemons);
   }
 
-  private static long versionOf(Observation known) {
-    return known == null ? 0 : known.version;
+  private static long versionOf(Observation observation) {
+    return observation == null ? 0 : observation.version;
   }
 
-  private boolean isFresh(long now, Observation known) {
-    return now - known.since < durationMillis;
+  private boolean isFresh(long now, Observation observation) {
+    return now - observation.observedAt < durationMillis;
   }
 
-  /** One version of a lease, and when it was learned. */
+  /** Version of a lease, and when it was first observed. */
   private static final class Observation {
     private final long version;
-    private final long since;
+    private final long observedAt;
     private long readSentAt = Long.MIN_VALUE;
     private long checkAt = Long.MIN_VALUE;
-    private boolean gone;
-    private boolean readSoon;
+    private boolean deleted;
+    private boolean readRequested;
 
-    Observation(long version, long since) {
+    Observation(long version, long observedAt) {
       this.version = version;
-      this.since = since;
+      this.observedAt = observedAt;
     }
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseRecord.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseRecord.java
@@ -4,16 +4,17 @@
 import java.util.Objects;
 
 /**
- * The value of a lease object on the platform.
+ * Value of a lease object on the platform.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param daemon the holder
- * @param address where peers reach it
- * @param incarnation the holder's process; a later process under the name has a higher one
- * @param renewals counts the renewals, so that each changes the object
- * @param durationMillis how long a renewal lasts
- * @param state what the holder says of itself
+ * @param address the holder's address for peer connections
+ * @param incarnation the holder's incarnation; a later process with the same daemon name has a
+ *     higher one
+ * @param renewals the count of renewals; makes each renewal change the object
+ * @param durationMillis the validity of a renewal
+ * @param state the state that the holder declares
  */
 public record LeaseRecord(
     DaemonId daemon,
@@ -23,7 +24,7 @@
     long durationMillis,
     LeaseState state) {
 
-  /** Checks the parts. */
+  /** Checks the components. */
   public LeaseRecord {
     Objects.requireNonNull(daemon, "daemon");
     Objects.requireNonNull(address, "address");
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseSettings.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseSettings.java
@@ -1,56 +1,59 @@
 package io.sequoiapass.coordination.process;
 
 /**
- * Holds the times of leases, checked against one another.
+ * Timing settings of leases, validated against one another.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param durationMillis how long a renewal lasts; bounds the time without an owner after a kill
- * @param renewEveryMillis time between renewals; at 400 daemons 4000 ms are 100 writes a second of
- *     the platform's several hundred
- * @param callTimeoutMillis time after which the answer to a renewal is given up
- * @param marginMillis what a holder leaves unused of each renewal, against clocks that run at
- *     different speeds and the time between check and write
- * @param maxPauseMillis gap between two looks at the own clock that counts as a pause
- * @param outAfterMillis time without an answer after which the platform counts as out
- * @param evidenceMillis age up to which a peer's report that the platform is out is believed
+ * @param durationMillis the validity of a renewal; bounds the time without an owner after a daemon
+ *     is killed
+ * @param renewIntervalMillis the interval between renewals; with 400 daemons, 4000 ms cause 100
+ *     writes per second, while the platform accepts several hundred
+ * @param callTimeoutMillis the timeout of a renewal call
+ * @param marginMillis the time that a holder leaves unused at the end of each renewal; covers
+ *     clocks that run at different speeds and the delay between the lease check and the write of an
+ *     order
+ * @param maxPauseMillis the gap between two readings of the local clock above which the process
+ *     counts as paused
+ * @param outAfterMillis the time without an answer after which the platform counts as out
+ * @param reportMaxAgeMillis the maximum age of a peer's report that the platform is out
  */
 public record LeaseSettings(
     long durationMillis,
-    long renewEveryMillis,
+    long renewIntervalMillis,
     long callTimeoutMillis,
     long marginMillis,
     long maxPauseMillis,
     long outAfterMillis,
-    long evidenceMillis) {
+    long reportMaxAgeMillis) {
 
   /** The settings for 400 daemons. */
   public static final LeaseSettings DEFAULT =
       new LeaseSettings(10_000, 4_000, 1_000, 1_000, 2_000, 6_000, 3_000);
 
-  /** Checks that the times fit into one another. */
+  /** Checks that the settings are consistent. */
   public LeaseSettings {
     require(callTimeoutMillis > 0, "callTimeout must be > 0", callTimeoutMillis);
     require(marginMillis > 0, "margin must be > 0", marginMillis);
     require(maxPauseMillis > 0, "maxPause must be > 0", maxPauseMillis);
     require(
-        renewEveryMillis > callTimeoutMillis,
-        "renewEvery must exceed callTimeout",
-        renewEveryMillis);
+        renewIntervalMillis > callTimeoutMillis,
+        "renewInterval must exceed callTimeout",
+        renewIntervalMillis);
     require(
-        durationMillis >= renewEveryMillis + 2 * callTimeoutMillis + marginMillis,
-        "duration must leave room for a second try",
+        durationMillis >= renewIntervalMillis + 2 * callTimeoutMillis + marginMillis,
+        "duration must allow a second renewal attempt",
         durationMillis);
     require(
-        outAfterMillis > renewEveryMillis + callTimeoutMillis,
+        outAfterMillis > renewIntervalMillis + callTimeoutMillis,
         "outAfter must exceed the time between two answers",
         outAfterMillis);
-    // A peer takes over only after a whole lease in contact with the platform, so a report that it
-    // is out, younger than that, shows that it has not.
+    // A peer takes over only after it has reached the platform for a full lease duration. A report
+    // of an outage that is younger than this proves that the peer has not taken over.
     require(
-        evidenceMillis + marginMillis < durationMillis,
-        "evidence and margin must stay below duration",
-        evidenceMillis);
+        reportMaxAgeMillis + marginMillis < durationMillis,
+        "reportMaxAge plus margin must be less than duration",
+        reportMaxAgeMillis);
   }
 
   private static void require(boolean holds, String rule, long value) {
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseStanding.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseStanding.java
@@ -1,17 +1,20 @@
 package io.sequoiapass.coordination.process;
 
-/** How a daemon's own lease stands at one moment. */
+/** Status of a daemon's own lease. */
 public enum LeaseStanding {
-  /** No lease yet, or given back. */
+  /** Not acquired yet, or released. */
   NOT_HELD,
-  /** The first lease of a process whose predecessor under the name may still act. */
+  /** First lease of a process whose predecessor with the same daemon name may still send orders. */
   STARTING,
-  /** Held, with time left beyond the margin. */
+  /** Held, with more time remaining than the margin. */
   VALID,
-  /** Ran out, or renewed after it ran out without a newer ownership table since. */
+  /** Expired; or renewed after expiry, without a newer ownership table since. */
   LAPSED,
-  /** Ran out, while every daemon of the data centre shows that it cannot take over either. */
+  /**
+   * Expired, while every daemon of the data centre reports that it cannot reach the platform and so
+   * cannot take over.
+   */
   LAPSED_FOR_ALL,
-  /** A newer process holds the lease under the same name: this one must stop. */
+  /** Held by a newer process with the same daemon name; this process must stop. */
   SUPERSEDED
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseState.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseState.java
@@ -1,9 +1,9 @@
 package io.sequoiapass.coordination.process;
 
-/** What a lease's holder says of itself. */
+/** State that the holder of a lease declares. */
 public enum LeaseState {
-  /** Takes endpoints. */
+  /** Accepts endpoints. */
   ACTIVE,
-  /** About to stop: takes no more endpoints. */
+  /** About to stop; accepts no more endpoints. */
   DRAINING
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/MemberState.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/MemberState.java
@@ -1,14 +1,20 @@
 package io.sequoiapass.coordination.process;
 
-/** What a daemon's heartbeats say about it, as seen by one peer; never a proof that it stopped. */
+/**
+ * State of a daemon as one peer derives it from heartbeats; never a proof that the daemon has
+ * stopped.
+ */
 public enum MemberState {
-  /** Heard from lately. */
+  /** Heartbeats arrive on time. */
   ALIVE(true, true),
-  /** Heard from lately, and about to stop: finishes its work and takes no new endpoints. */
+  /**
+   * Heartbeats arrive on time; the daemon is about to stop, finishes its work and accepts no new
+   * endpoints.
+   */
   DRAINING(true, false),
-  /** Silent for longer than heartbeats usually take. */
+  /** No heartbeat for longer than the suspicion timeout. */
   SUSPECT(false, false),
-  /** Silent for so long that work goes elsewhere. */
+  /** No heartbeat for so long that its work is sent to other daemons. */
   DEAD(false, false);
 
   private final boolean reachable;
@@ -19,12 +25,12 @@
     this.candidate = candidate;
   }
 
-  /** Returns whether requests for its endpoints may be forwarded to it without a second thought. */
+  /** Returns whether requests for its endpoints may be forwarded to it without a precaution. */
   public boolean isReachable() {
     return reachable;
   }
 
-  /** Returns whether it may be given endpoints, watches or proposals. */
+  /** Returns whether it may receive endpoints, watches or proposals. */
   public boolean isCandidate() {
     return candidate;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/Membership.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/Membership.java
@@ -12,7 +12,7 @@
 import java.util.TreeSet;
 
 /**
- * Tells which daemons of the own data centre are heard from, by their heartbeats alone.
+ * Failure detector for the daemons of one data centre, based on their heartbeats only.
  *
  * <pre>{@code
  * Membership membership = Membership.create(MembershipSettings.DEFAULT, now);
@@ -20,17 +20,18 @@
  * List<MembershipChange> changes = membership.tick(now + 500);
  * }</pre>
  *
- * <p>Membership decides where to send work and whom to ask. It never decides who owns an endpoint:
- * that takes a lease (see {@link LeaseObserver}). Not thread-safe; one shard drives it.
+ * <p>Membership decides which daemons receive work and requests. It never decides which daemon owns
+ * an endpoint: that requires a lease (see {@link LeaseObserver}). Not thread-safe; confined to one
+ * shard.
  */
 public final class Membership {
 
   /**
-   * Silence, in heartbeats, from which on one is overdue: above one, since timers are late at times
-   * and each false alarm costs a read of one lease. With it takeovers took at most 3.1 s in 24 runs
-   * on one busy core, with a lease of 3 s and heartbeats of 0.5 s.
+   * Time without a heartbeat after which one is overdue, in heartbeat intervals. Above 1, since
+   * timers can fire late and each false alarm costs a read of one lease. With this value, a lease
+   * of 3 s and heartbeats of 0.5 s, takeovers took at most 3.1 s in 24 runs on one busy core.
    */
-  private static final double OVERDUE_AFTER = 1.3;
+  private static final double OVERDUE_AFTER_INTERVALS = 1.3;
 
   private final MembershipSettings settings;
   private final Map<DaemonId, Peer> peers = new TreeMap<>();
@@ -42,9 +43,9 @@
   }
 
   /**
-   * Returns a membership that knows nobody yet.
+   * Returns a membership without peers.
    *
-   * @param settings the times
+   * @param settings the timing settings
    * @param now the time
    */
   public static Membership create(MembershipSettings settings, long now) {
@@ -52,40 +53,41 @@
   }
 
   /**
-   * Takes in a peer's heartbeat.
+   * Handles a peer's heartbeat.
    *
    * @param now the time
    * @param daemon the sender
    * @param incarnation the sender's incarnation
-   * @param said what it says of itself: ALIVE or DRAINING
+   * @param reported the state that the sender reports: ALIVE or DRAINING
    * @return the change, if there is one
    */
   public Optional<MembershipChange> heartbeatReceived(
-      long now, DaemonId daemon, long incarnation, MemberState said) {
-    if (!said.isReachable()) {
-      throw new IllegalArgumentException("a heartbeat says ALIVE or DRAINING, not " + said);
+      long now, DaemonId daemon, long incarnation, MemberState reported) {
+    if (!reported.isReachable()) {
+      throw new IllegalArgumentException("heartbeat state must be ALIVE or DRAINING: " + reported);
     }
     Peer peer = peers.computeIfAbsent(daemon, id -> new Peer());
-    // A heartbeat of a former process that was held up on its way would keep a name alive that its
-    // successor already uses. Once nobody is heard under the name any number will do, since a
-    // wall clock that stepped back may have numbered the newer process lower.
+    // A delayed heartbeat of a previous incarnation must not count as one of its successor. Once
+    // the daemon is dead, any incarnation is accepted, since after a backward step of the wall
+    // clock the newer process may have a lower one.
     if (incarnation < peer.incarnation && peer.state != MemberState.DEAD) {
       return Optional.empty();
     }
-    boolean restarted = peer.heard && incarnation != peer.incarnation;
+    boolean restarted = peer.heartbeatSeen && incarnation != peer.incarnation;
     MemberState from = peer.state;
-    peer.heard = true;
-    peer.lastHeard = now;
-    peer.noted = false;
+    peer.heartbeatSeen = true;
+    peer.lastHeartbeatAt = now;
+    peer.reportedOverdue = false;
     peer.incarnation = incarnation;
-    peer.state = said;
-    return from == said && !restarted
+    peer.state = reported;
+    return from == reported && !restarted
         ? Optional.empty()
-        : Optional.of(new MembershipChange(daemon, incarnation, from, said, restarted));
+        : Optional.of(new MembershipChange(daemon, incarnation, from, reported, restarted));
   }
 
   /**
-   * Takes in that a daemon exists, from its lease or the host list; it counts as dead until heard.
+   * Adds a daemon found by its lease or in the host list; it counts as dead until its first
+   * heartbeat.
    *
    * @param now the time
    * @param daemon the daemon
@@ -95,30 +97,30 @@
         daemon,
         id -> {
           Peer peer = new Peer();
-          peer.lastHeard = now;
+          peer.lastHeartbeatAt = now;
           return peer;
         });
   }
 
   /**
-   * Takes in that a daemon exists, and what the platform's host list says of its host.
+   * Adds a daemon with the state of its host in the platform's host list.
    *
    * @param now the time
    * @param daemon the daemon
-   * @param hint what the list says
+   * @param hint the state in the list
    */
   public void learned(long now, DaemonId daemon, HostHint hint) {
     learned(now, daemon);
-    hinted(daemon, hint);
+    updateHint(daemon, hint);
   }
 
   /**
-   * Takes in what the platform's host list says of a daemon's host.
+   * Updates the state of a daemon's host in the platform's host list.
    *
    * @param daemon the daemon
-   * @param hint what the list says
+   * @param hint the state in the list
    */
-  public void hinted(DaemonId daemon, HostHint hint) {
+  public void updateHint(DaemonId daemon, HostHint hint) {
     Peer peer = peers.get(daemon);
     if (peer != null) {
       peer.hint = hint;
@@ -126,25 +128,25 @@
   }
 
   /**
-   * Lets time pass.
+   * Advances the time.
    *
    * @param now the time
-   * @return the changes that silence brought
+   * @return the state changes caused by missing heartbeats
    */
   public List<MembershipChange> tick(long now) {
-    forgivePause(now);
+    compensateForPause(now);
     List<MembershipChange> changes = new ArrayList<>();
     Iterator<Map.Entry<DaemonId, Peer>> all = peers.entrySet().iterator();
     while (all.hasNext()) {
       Map.Entry<DaemonId, Peer> entry = all.next();
       Peer peer = entry.getValue();
       MemberState from = peer.state;
-      peer.state = stateAfter(peer, now - peer.lastHeard);
+      peer.state = stateAfter(peer, now - peer.lastHeartbeatAt);
       if (peer.state != from) {
         changes.add(
             new MembershipChange(entry.getKey(), peer.incarnation, from, peer.state, false));
       }
-      if (now - peer.lastHeard >= settings.forgetAfterMillis()) {
+      if (now - peer.lastHeartbeatAt >= settings.forgetAfterMillis()) {
         all.remove();
       }
     }
@@ -152,13 +154,14 @@
   }
 
   /**
-   * Returns the peers whose heartbeat is overdue, each once for a silence; to be called after
-   * {@link #tick}.
+   * Returns the peers whose heartbeat is overdue, each once until its next heartbeat; to be called
+   * after {@link #tick}.
    *
-   * <p>They are not suspected yet and keep their work. But one that was killed right after it
-   * renewed its lease told nobody, and the lease can only be counted from when it is read again:
-   * read at the suspicion, after two and a half heartbeats, it delayed takeovers to 4.5 s with a
-   * lease of 3 s and heartbeats of 0.5 s, measured on one busy core.
+   * <p>They are not suspected yet and keep their work. But a peer that is killed right after a
+   * renewal has not announced the new lease version, and the lease duration counts only from the
+   * read that observes it. If the lease were read only at the suspicion, after 2.5 heartbeat
+   * intervals, takeovers would take up to 4.5 s with a lease of 3 s and heartbeats of 0.5 s on one
+   * busy core.
    *
    * @param now the time
    */
@@ -166,28 +169,30 @@
     Set<DaemonId> found = new TreeSet<>();
     peers.forEach(
         (daemon, peer) -> {
-          boolean late = now - peer.lastHeard >= OVERDUE_AFTER * settings.heartbeatEveryMillis();
-          if (late && !peer.noted && peer.state.isReachable()) {
-            peer.noted = true;
+          boolean late =
+              now - peer.lastHeartbeatAt
+                  >= OVERDUE_AFTER_INTERVALS * settings.heartbeatIntervalMillis();
+          if (late && !peer.reportedOverdue && peer.state.isReachable()) {
+            peer.reportedOverdue = true;
             found.add(daemon);
           }
         });
     return found;
   }
 
-  /** Returns the state of a daemon; DEAD for one never heard of. */
+  /** Returns the state of a daemon; DEAD for an unknown one. */
   public MemberState state(DaemonId daemon) {
     Peer peer = peers.get(daemon);
     return peer == null ? MemberState.DEAD : peer.state;
   }
 
-  /** Returns the newest incarnation heard of a daemon; -1 for one never heard of. */
+  /** Returns the incarnation of a daemon's last accepted heartbeat; -1 if there is none. */
   public long incarnation(DaemonId daemon) {
     Peer peer = peers.get(daemon);
-    return peer == null || !peer.heard ? -1 : peer.incarnation;
+    return peer == null || !peer.heartbeatSeen ? -1 : peer.incarnation;
   }
 
-  /** Returns the peers that may be given endpoints, watches or proposals. */
+  /** Returns the peers that may receive endpoints, watches or proposals. */
   public Set<DaemonId> candidates() {
     Set<DaemonId> found = new TreeSet<>();
     peers.forEach(
@@ -199,23 +204,23 @@
     return found;
   }
 
-  /** Returns every daemon known, whatever its state. */
-  public Set<DaemonId> known() {
+  /** Returns all peers in any state. */
+  public Set<DaemonId> peers() {
     return new TreeSet<>(peers.keySet());
   }
 
   /**
-   * Returns whether every known daemon is heard from. While one is not, it may be serving the own
-   * endpoints as a deputy, so an eviction first reads the engine's state.
+   * Returns whether every peer is reachable. An unreachable peer may be serving this daemon's
+   * endpoints as their backup owner, so an eviction first reads the engine's state.
    */
   public boolean isEveryoneHeard() {
     return peers.values().stream().allMatch(peer -> peer.state.isReachable());
   }
 
-  // A daemon that was frozen has read no heartbeats. Without this it would declare every peer dead
-  // on waking, and send their work elsewhere. It is enough, since the peers' heartbeats of the next
-  // seconds decide, and leases keep ownership safe meanwhile.
-  private void forgivePause(long now) {
+  // A frozen daemon reads no heartbeats. Without this compensation it would declare every peer dead
+  // after its pause and send their work to other daemons. It suffices because the peers' heartbeats
+  // in the next seconds decide, and leases keep ownership safe meanwhile.
+  private void compensateForPause(long now) {
     long gap = now - lastTick;
     lastTick = now;
     if (gap <= settings.suspectAfterMillis()) {
@@ -223,27 +228,27 @@
     }
     peers.values().stream()
         .filter(peer -> peer.state.isReachable())
-        .forEach(peer -> peer.lastHeard = Math.min(now, peer.lastHeard + gap));
+        .forEach(peer -> peer.lastHeartbeatAt = Math.min(now, peer.lastHeartbeatAt + gap));
   }
 
   private MemberState stateAfter(Peer peer, long silence) {
     if (peer.state == MemberState.DEAD
-        || silence >= peer.hint.patience(settings.deadAfterMillis())) {
+        || silence >= peer.hint.scaleTimeout(settings.deadAfterMillis())) {
       return MemberState.DEAD;
     }
-    if (silence >= peer.hint.patience(settings.suspectAfterMillis())) {
+    if (silence >= peer.hint.scaleTimeout(settings.suspectAfterMillis())) {
       return MemberState.SUSPECT;
     }
     return peer.state;
   }
 
-  /** What is known of one peer. */
+  /** State of one peer. */
   private static final class Peer {
-    private boolean heard;
-    private long lastHeard;
+    private boolean heartbeatSeen;
+    private long lastHeartbeatAt;
     private long incarnation = Long.MIN_VALUE;
     private MemberState state = MemberState.DEAD;
     private HostHint hint = HostHint.LIVE;
-    private boolean noted;
+    private boolean reportedOverdue;
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OrderAuthority.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OrderAuthority.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.coordination.process;
 
-/** Which orders a daemon may give to an endpoint at this moment. */
+/** Which orders a daemon may send to an endpoint. */
 public enum OrderAuthority {
   /** Every order. */
   FULL {
@@ -9,14 +9,14 @@
       return true;
     }
   },
-  /** Only orders that harm nobody if another daemon owns the endpoint by now. */
-  HARMLESS_ONLY {
+  /** Only orders that are harmless even if another daemon owns the endpoint. */
+  NON_DESTRUCTIVE {
     @Override
     public boolean permits(OrderKind order) {
       return !order.isDestructive();
     }
   },
-  /** No order at all. */
+  /** No order. */
   NONE {
     @Override
     public boolean permits(OrderKind order) {
@@ -25,7 +25,7 @@
   };
 
   /**
-   * Returns whether an order may be given.
+   * Returns whether an order may be sent.
    *
    * @param order the order
    */
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OrderKind.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OrderKind.java
@@ -1,12 +1,12 @@
 package io.sequoiapass.coordination.process;
 
-/** What an owner tells an endpoint to do, by the harm it does when a former owner tells it. */
+/** Kind of an order to an endpoint, with the harm that it can do when a former owner sends it. */
 public enum OrderKind {
-  /** Load an adapter into a slot that is free; the worst is a load that nobody wanted. */
+  /** Loads an adapter into a free slot; at worst the load is unnecessary. */
   LOAD_INTO_FREE_SLOT(false),
-  /** Unload an adapter, which another owner's requests may be running on. */
+  /** Unloads an adapter that requests of another owner may be using. */
   UNLOAD(true),
-  /** Change the endpoint's role, which may cut what runs. */
+  /** Changes the endpoint's role, which may abort running requests. */
   CHANGE_ROLE(true);
 
   private final boolean destructive;
@@ -15,7 +15,7 @@
     this.destructive = destructive;
   }
 
-  /** Returns whether it can harm requests of another owner. */
+  /** Returns whether the order can harm requests of another owner. */
   public boolean isDestructive() {
     return destructive;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipDelta.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipDelta.java
@@ -10,7 +10,7 @@
 import java.util.TreeSet;
 
 /**
- * Is what differs between two versions of one data centre's ownership table.
+ * Difference between two versions of one data centre's ownership table.
  *
  * <pre>{@code
  * OwnershipDelta delta = OwnershipDelta.between(former, table);
@@ -18,15 +18,15 @@
  * }</pre>
  *
  * <p>A version is the platform's revision of the object, so two tables of one version are equal,
- * and a delta fits exactly the tables of its base version. Instances are immutable and safe for use
+ * and a delta applies only to a table of its base version. Instances are immutable and safe for use
  * by several threads.
  *
- * @param baseVersion the version that it leads from
- * @param version the version that it leads to
- * @param epoch the epoch of that version
- * @param changed the owners of endpoints that are new or changed hands
- * @param removed the endpoints that have no owner any more
- * @param incarnations the processes that are new or changed
+ * @param baseVersion the version that the delta applies to
+ * @param version the version that results
+ * @param epoch the epoch of the resulting version
+ * @param changed the owners of endpoints that are new or have a new owner
+ * @param removed the endpoints that the resulting table does not contain
+ * @param incarnations the incarnations of owners that are new or changed
  */
 public record OwnershipDelta(
     long baseVersion,
@@ -40,7 +40,7 @@
   public OwnershipDelta {
     if (baseVersion < 0 || version <= baseVersion || epoch < 0) {
       throw new IllegalArgumentException(
-          "versions must grow from >= 0 and epoch be >= 0: "
+          "versions must be >= 0 and increasing, and epoch must be >= 0: "
               + baseVersion
               + " to "
               + version
@@ -55,8 +55,8 @@
   /**
    * Returns the delta from one table to a newer one.
    *
-   * @param base the older
-   * @param table the newer
+   * @param base the older table
+   * @param table the newer table
    */
   public static OwnershipDelta between(OwnershipTable base, OwnershipTable table) {
     Map<EndpointId, DaemonId> changed = new TreeMap<>(table.owners());
@@ -70,9 +70,10 @@
   }
 
   /**
-   * Returns the table that this delta leads to; empty if it does not lead from the table given.
+   * Returns the table that results from applying this delta; empty if its base version is not the
+   * version of the given table.
    *
-   * @param base the table to change
+   * @param base the table to apply it to
    */
   public Optional<OwnershipTable> applyTo(OwnershipTable base) {
     if (base.version() != baseVersion) {
@@ -81,29 +82,30 @@
     Map<EndpointId, DaemonId> owners = new TreeMap<>(base.owners());
     owners.putAll(changed);
     owners.keySet().removeAll(removed);
-    Map<DaemonId, Long> named = new TreeMap<>(base.incarnations());
-    named.putAll(incarnations);
-    return Optional.of(OwnershipTable.of(version, epoch, owners, named));
+    Map<DaemonId, Long> mergedIncarnations = new TreeMap<>(base.incarnations());
+    mergedIncarnations.putAll(incarnations);
+    return Optional.of(OwnershipTable.of(version, epoch, owners, mergedIncarnations));
   }
 
   /**
-   * Returns one delta for this and the next.
+   * Returns a single delta equivalent to this one followed by the next.
    *
    * @param next a delta whose base is this one's version
    */
-  OwnershipDelta then(OwnershipDelta next) {
+  OwnershipDelta compose(OwnershipDelta next) {
     if (next.baseVersion != version) {
       throw new IllegalArgumentException(
-          "next leads from " + next.baseVersion + ", not from " + version);
+          "base version of next is " + next.baseVersion + ", expected " + version);
     }
     Map<EndpointId, DaemonId> owners = new TreeMap<>(changed);
     owners.putAll(next.changed);
     owners.keySet().removeAll(next.removed);
-    Set<EndpointId> gone = new TreeSet<>(removed);
-    gone.addAll(next.removed);
-    gone.removeAll(next.changed.keySet());
-    Map<DaemonId, Long> named = new TreeMap<>(incarnations);
-    named.putAll(next.incarnations);
-    return new OwnershipDelta(baseVersion, next.version, next.epoch, owners, gone, named);
+    Set<EndpointId> allRemoved = new TreeSet<>(removed);
+    allRemoved.addAll(next.removed);
+    allRemoved.removeAll(next.changed.keySet());
+    Map<DaemonId, Long> mergedIncarnations = new TreeMap<>(incarnations);
+    mergedIncarnations.putAll(next.incarnations);
+    return new OwnershipDelta(
+        baseVersion, next.version, next.epoch, owners, allRemoved, mergedIncarnations);
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipPlanner.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipPlanner.java
@@ -20,28 +20,29 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides on changes of one data centre's ownership table, and follows each write to its end.
+ * Plans changes of one data centre's ownership table, and tracks each write until its outcome is
+ * known.
  *
  * <pre>{@code
  * planner.tableSeen(now, table);
- * planner.candidatesAre(now, keeper.incarnation(), candidates);
+ * planner.candidatesAre(now, leaseManager.incarnation(), candidates);
  * planner.endpointsAre(endpoints);
  * planner.takeOver(now).ifPresent(platform::write);
  * planner.answered(now, operation, answer);
  * }</pre>
  *
- * <p>Endpoints leave a living owner only by its own hand ({@link #handOver}, {@link #rebalance}),
- * which stops its orders for them before the write is sent. Others take what has no owner or whose
- * owner's lease ran out ({@link #takeOver}). One write at a time is under way; its fate is followed
- * until known. Not thread-safe; one shard drives it.
+ * <p>Only a live owner itself gives up its endpoints ({@link #handOver}, {@link #rebalance}), and
+ * it stops its orders for them before the write is sent. Other daemons take over endpoints that
+ * have no owner or whose owner's lease has expired ({@link #takeOver}). At most one write is in
+ * flight, until its outcome is known. Not thread-safe; confined to one shard.
  */
 public final class OwnershipPlanner {
 
   private static final long BACKOFF_BASE_MILLIS = 200;
   private static final long BACKOFF_CAP_MILLIS = 5_000;
 
-  /** Balance is no hurry, and ranks every daemon for every endpoint owned. */
-  private static final long BALANCE_EVERY_MILLIS = 1_000;
+  /** Rebalancing is not urgent, and each run ranks every daemon for every endpoint owned. */
+  private static final long REBALANCE_INTERVAL_MILLIS = 1_000;
 
   private final OwnershipSettings settings;
   private final DataCentreId dataCentre;
@@ -66,8 +67,8 @@
   private OwnershipProposal proposal;
   private Set<EndpointId> handingOver = new TreeSet<>();
   private long handingOverUntil;
-  private long nextTryAt;
-  private long nextBalanceAt = Long.MIN_VALUE;
+  private long nextAttemptAt;
+  private long nextRebalanceAt = Long.MIN_VALUE;
   private long needSince = Long.MAX_VALUE;
   private long confirmAt = Long.MAX_VALUE;
 
@@ -87,12 +88,12 @@
   }
 
   /**
-   * Returns a planner that knows no table yet.
+   * Returns a planner that holds no table yet.
    *
-   * @param settings the bounds
+   * @param settings the timing settings and limits
    * @param dataCentre the data centre
    * @param self the daemon
-   * @param observer its view of others' leases
+   * @param observer the observer of other daemons' leases
    * @param random the source of jitter
    */
   public static OwnershipPlanner create(
@@ -105,24 +106,24 @@
   }
 
   /**
-   * Takes in a table read from the platform or had from a peer; an older one changes nothing.
+   * Handles a table received from the platform or from a peer; an older one changes nothing.
    *
    * @param now the time
-   * @param seen the table
-   * @return whether it is newer than the one known
+   * @param received the table
+   * @return whether it is newer than the current one
    */
-  public boolean tableSeen(long now, OwnershipTable seen) {
-    boolean newer = seen.version() > table.version();
+  public boolean tableSeen(long now, OwnershipTable received) {
+    boolean newer = received.version() > table.version();
     if (newer || !tableRead) {
       tableReceivedAt = now;
       tableRead = true;
     }
     if (newer) {
       confirmAt = Long.MAX_VALUE;
-      table = seen;
+      table = received;
       compareEndpoints();
-      nextBalanceAt = Long.MIN_VALUE;
-      if (seen.version() >= handingOverUntil) {
+      nextRebalanceAt = Long.MIN_VALUE;
+      if (received.version() >= handingOverUntil) {
         handingOver = new TreeSet<>();
       }
     }
@@ -130,32 +131,32 @@
   }
 
   /**
-   * Takes in who may be given endpoints: daemons heard from, not draining, whose lease is live, the
-   * own one included.
+   * Sets the daemons that endpoints may be assigned to: those that are alive, not draining and have
+   * a live lease, including this one.
    *
    * @param now the time
-   * @param incarnation the own process's number, candidate or not
-   * @param processes the candidates
+   * @param incarnation the incarnation of this daemon, whether it is a candidate or not
+   * @param newCandidates the candidates
    */
-  public void candidatesAre(long now, long incarnation, Map<DaemonId, Candidate> processes) {
+  public void candidatesAre(long now, long incarnation, Map<DaemonId, Candidate> newCandidates) {
     ownIncarnation = incarnation;
-    candidates = new TreeMap<>(processes);
+    candidates = new TreeMap<>(newCandidates);
     candidateSince.keySet().retainAll(candidates.keySet());
     candidates.keySet().forEach(daemon -> candidateSince.putIfAbsent(daemon, now));
   }
 
-  /** Takes in the endpoints of the data centre, from configuration. */
-  public void endpointsAre(Collection<EndpointId> known) {
-    endpoints = new TreeSet<>(known);
+  /** Sets the endpoints of the data centre, from the configuration. */
+  public void endpointsAre(Collection<EndpointId> configured) {
+    endpoints = new TreeSet<>(configured);
     compareEndpoints();
   }
 
-  /** Returns the newest table known. */
+  /** Returns the newest table received. */
   public OwnershipTable table() {
     return table;
   }
 
-  /** Returns the daemons whose lease objects are to be read from the platform now. */
+  /** Returns the daemons whose lease objects have to be read from the platform now. */
   public Set<DaemonId> leasesToCheck(long now) {
     Set<DaemonId> owners = table.daemons();
     owners.remove(self);
@@ -164,28 +165,30 @@
   }
 
   /**
-   * Returns a write that gives owners to endpoints without one, if there are any, nothing else is
-   * under way and it is this daemon's turn.
+   * Returns a write that assigns endpoints without a live owner and removes unconfigured ones;
+   * empty if there are none, a write is in flight, or the delay for this daemon's rank has not
+   * elapsed.
    */
   public Optional<OwnershipProposal> takeOver(long now) {
     Set<EndpointId> orphans = orphans(now);
     boolean needed =
         tableRead && !candidates.isEmpty() && !(orphans.isEmpty() && removed.isEmpty());
     needSince = needed ? Math.min(needSince, now) : Long.MAX_VALUE;
-    if (!needed || isBusy(now) || now < needSince + turnDelay()) {
+    if (!needed || isBusy(now) || now < needSince + rankDelay()) {
       return Optional.empty();
     }
-    return propose(assignAll(orphans), removed);
+    return propose(assignOrphans(orphans), removed);
   }
 
   /**
-   * Returns a write that gives away endpoints of this daemon, which stops ordering for them now.
+   * Returns a write that hands over endpoints of this daemon; its orders for them stop with this
+   * call.
    *
    * @param now the time
-   * @param leaving the endpoints; those that are not this daemon's are passed over
+   * @param leaving the endpoints; those of other daemons are ignored
    */
   public Optional<OwnershipProposal> handOver(long now, Collection<EndpointId> leaving) {
-    Set<EndpointId> own = isNamed() ? table.ownedBy(self) : new TreeSet<>();
+    Set<EndpointId> own = isCurrentIncarnation() ? table.ownedBy(self) : new TreeSet<>();
     own.retainAll(new TreeSet<>(leaving));
     Map<DaemonId, Candidate> others = new TreeMap<>(candidates);
     others.remove(self);
@@ -203,14 +206,17 @@
   }
 
   /**
-   * Returns a write that hands a few endpoints to daemons that rank before this one for them, such
-   * as one that has come back; empty while nothing is to be gained.
+   * Returns a write that hands over a few endpoints to daemons that rank higher for them, such as a
+   * daemon that has rejoined; empty if there is nothing to rebalance.
    */
   public Optional<OwnershipProposal> rebalance(long now) {
-    if (!candidates.containsKey(self) || !isNamed() || isBusy(now) || now < nextBalanceAt) {
+    if (!candidates.containsKey(self)
+        || !isCurrentIncarnation()
+        || isBusy(now)
+        || now < nextRebalanceAt) {
       return Optional.empty();
     }
-    nextBalanceAt = now + BALANCE_EVERY_MILLIS;
+    nextRebalanceAt = now + REBALANCE_INTERVAL_MILLIS;
     Assignment assignment =
         new Assignment(candidates, table, endpoints.size(), settings.loadFactor());
     Map<EndpointId, DaemonId> changed = new TreeMap<>();
@@ -227,9 +233,10 @@
   }
 
   /**
-   * Returns a write that changes no owner and only raises the version, which a lease that ran out
-   * needs to be whole again (see {@link LeaseKeeper#needsTable}). It comes at a random moment:
-   * after an outage every daemon needs one, and the first one written serves them all.
+   * Returns a write that changes no owner and only raises the version, which an expired lease needs
+   * to become valid again (see {@link LeaseKeeper#needsTable}). The write is delayed by a random
+   * time: after an outage every daemon needs a newer version, and the first write serves all of
+   * them.
    */
   public Optional<OwnershipProposal> confirm(long now) {
     if (!tableRead || isReplaced() || table.countOf(self) == 0 || isBusy(now)) {
@@ -245,25 +252,25 @@
   }
 
   /**
-   * Returns whether the newest table names a former process for this daemon's endpoints, so that
-   * {@link #confirm} has to name this one.
+   * Returns whether the newest table records a previous incarnation of this daemon, so that {@link
+   * #confirm} has to record the current one.
    */
   public boolean needsConfirmation() {
     return table.countOf(self) > 0 && table.incarnation(self) < ownIncarnation;
   }
 
-  /** Returns the write under way, to be sent again, once its time has come. */
+  /** Returns the pending write once it is due to be sent again. */
   public Optional<OwnershipProposal> retry(long now) {
-    return pending != null && now >= nextTryAt ? Optional.of(proposal) : Optional.empty();
+    return pending != null && now >= nextAttemptAt ? Optional.of(proposal) : Optional.empty();
   }
 
   /**
-   * Takes in what came back from a write.
+   * Handles the answer to a write.
    *
    * @param now the time
-   * @param operation the write's name
-   * @param answer what came back
-   * @return what became of the write; empty for an answer to an older write
+   * @param operation the identifier of the write
+   * @param answer the answer, or that it was lost
+   * @return the outcome of the write; empty for an answer to an earlier write
    */
   public Optional<WriteDecision> answered(long now, OperationId operation, WriteAnswer answer) {
     if (pending == null || !pending.operation().equals(operation)) {
@@ -273,51 +280,51 @@
     switch (decision.outcome()) {
       case APPLIED -> {
         handingOverUntil = 0;
-        tableSeen(now, proposal.table().storedAs(decision.version()));
-        finish();
+        tableSeen(now, proposal.table().withVersion(decision.version()));
+        clearPending();
         backoff.reset();
       }
       case CONFLICT -> {
-        // The handover may have taken effect, its answer lost, and the table changed again since.
-        // Until that table is known, ordering would be ordering another's endpoint.
+        // The handover may have been applied, its answer lost, and the table changed again. Until
+        // that table is received, an order could go to an endpoint of another owner.
         handingOverUntil = decision.version();
-        finish();
-        nextTryAt = now + backoff.nextDelayMillis();
+        clearPending();
+        nextAttemptAt = now + backoff.nextDelayMillis();
       }
-      case RETRY -> nextTryAt = now + retryDelay(answer);
+      case RETRY -> nextAttemptAt = now + retryDelay(answer);
       default -> throw new AssertionError(decision.outcome());
     }
     return Optional.of(decision);
   }
 
   /**
-   * Returns whether a write's fate is unknown. Such a daemon must not report the platform as out:
-   * its takeover may still take effect.
+   * Returns whether the outcome of a write is unknown. Meanwhile the daemon must not report the
+   * platform as out, since its takeover may still be applied.
    */
   public boolean isWritePending() {
     return pending != null;
   }
 
   /**
-   * Returns whether the newest table gives an endpoint to this daemon and it is not being handed
-   * over; without it no order is given, whatever the lease says.
+   * Returns whether this daemon owns an endpoint in the newest table and is not handing it over.
+   * Otherwise no order is sent, whatever the status of the lease.
    */
   public boolean isOwned(EndpointId endpoint) {
     return !handingOver.contains(endpoint)
-        && isNamed()
+        && isCurrentIncarnation()
         && table.owner(endpoint).filter(self::equals).isPresent();
   }
 
   /**
-   * Returns the endpoints that were given away by a write that is under way, or that was overtaken
-   * by a table which is not known yet: their next owners may act already.
+   * Returns the endpoints that are being handed over by a write that is in flight, or that
+   * conflicted with a table not received yet. Their new owners may already send orders.
    */
   public Set<EndpointId> handingOver() {
     return new TreeSet<>(handingOver);
   }
 
-  // The table gives this daemon's endpoints to this very process, not to one before or after it.
-  private boolean isNamed() {
+  // Whether the table records this incarnation of the daemon, not a previous or later one.
+  private boolean isCurrentIncarnation() {
     return table.incarnation(self) == ownIncarnation;
   }
 
@@ -328,7 +335,7 @@
   private Set<EndpointId> orphans(long now) {
     Set<EndpointId> orphans = new TreeSet<>(unowned);
     for (DaemonId owner : table.daemons()) {
-      if (hasLapsed(now, owner)) {
+      if (leaseHasExpired(now, owner)) {
         orphans.addAll(table.ownedBy(owner));
       }
     }
@@ -336,8 +343,9 @@
     return orphans;
   }
 
-  // Rounds come many times a second, and changes of the table or of the endpoints seldom. Compared
-  // each round, the 520 endpoints of a data centre cost more of a core than control may use.
+  // Control rounds run many times per second, but the table and the endpoints rarely change.
+  // Comparing the 520 endpoints of a data centre in each round would exceed the share of a core
+  // that control rounds may use.
   private void compareEndpoints() {
     unowned = new TreeSet<>(endpoints);
     unowned.removeAll(table.owners().keySet());
@@ -345,11 +353,11 @@
     removed.removeAll(endpoints);
   }
 
-  private boolean hasLapsed(long now, DaemonId owner) {
+  private boolean leaseHasExpired(long now, DaemonId owner) {
     return !owner.equals(self) && observer.hasLapsed(now, owner, tableReceivedAt);
   }
 
-  private Map<EndpointId, DaemonId> assignAll(Set<EndpointId> orphans) {
+  private Map<EndpointId, DaemonId> assignOrphans(Set<EndpointId> orphans) {
     Assignment assignment =
         new Assignment(candidates, table, endpoints.size(), settings.loadFactor());
     Map<EndpointId, DaemonId> changed = new TreeMap<>();
@@ -365,7 +373,7 @@
     if (changed.isEmpty()) {
       return Optional.empty();
     }
-    // An order given after the write was sent could reach the endpoint after the next owner's.
+    // An order sent after the write could reach the endpoint after an order of the next owner.
     handingOver = new TreeSet<>(changed.keySet());
     handingOverUntil = Long.MAX_VALUE;
     return propose(changed, List.of());
@@ -375,30 +383,34 @@
       Map<EndpointId, DaemonId> changed, Collection<EndpointId> removed) {
     operations++;
     OperationId operation = new OperationId(operationPrefix + operations);
-    Map<DaemonId, Long> processes = new TreeMap<>();
-    changed.values().forEach(daemon -> processes.put(daemon, candidates.get(daemon).incarnation()));
-    processes.put(self, ownIncarnation);
+    Map<DaemonId, Long> incarnations = new TreeMap<>();
+    changed
+        .values()
+        .forEach(daemon -> incarnations.put(daemon, candidates.get(daemon).incarnation()));
+    incarnations.put(self, ownIncarnation);
     pending = ConditionalWrite.create(operation, table.version());
     proposal =
-        new OwnershipProposal(operation, table.version(), table.next(changed, removed, processes));
-    nextTryAt = Long.MAX_VALUE;
+        new OwnershipProposal(
+            operation, table.version(), table.next(changed, removed, incarnations));
+    nextAttemptAt = Long.MAX_VALUE;
     return Optional.of(proposal);
   }
 
-  private void finish() {
+  private void clearPending() {
     pending = null;
     proposal = null;
-    nextTryAt = Long.MIN_VALUE;
+    nextAttemptAt = Long.MIN_VALUE;
   }
 
   private boolean isBusy(long now) {
-    return pending != null || now < nextTryAt;
+    return pending != null || now < nextAttemptAt;
   }
 
-  // Every daemon of a data centre sees a lapsed lease at about the same moment; if all wrote, all
-  // but one would conflict, at 23 data centres times 17 daemons. The first-ranked write at once and
-  // the rest wait, each longer, so a proposer that is itself cut off from the platform is replaced.
-  private long turnDelay() {
+  // All daemons of a data centre observe an expired lease at about the same time. If all of them
+  // wrote, all writes but one would conflict, with 23 data centres of 17 daemons each. The first-
+  // ranked daemon writes immediately and each next one waits longer, so a proposer that cannot
+  // reach the platform itself is replaced.
+  private long rankDelay() {
     return rank() * settings.rankDelayMillis();
   }
 
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipProposal.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipProposal.java
@@ -3,13 +3,13 @@
 import io.sequoiapass.coordination.OperationId;
 
 /**
- * A conditional write of the ownership table that {@link OwnershipPlanner} asks for.
+ * Conditional write of the ownership table requested by {@link OwnershipPlanner}.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param operation the write's name
+ * @param operation the identifier of the write
  * @param expectedVersion the version the object must have; 0 if it must not exist
- * @param table the value; its own version is not known yet
+ * @param table the new value; its version is set once it is stored
  */
 public record OwnershipProposal(
     OperationId operation, long expectedVersion, OwnershipTable table) {}
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipReplica.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipReplica.java
@@ -14,8 +14,7 @@
 import java.util.TreeMap;
 
 /**
- * Holds the newest ownership table of one data centre that this daemon knows, and keeps it current
- * by deltas between daemons.
+ * This daemon's copy of one data centre's ownership table, updated by deltas from other daemons.
  *
  * <pre>{@code
  * replica.deltaReceived(peer, delta);
@@ -24,63 +23,71 @@
  * replica.deltaSince(version).ifPresent(found -> send(peer, found));
  * }</pre>
  *
- * <p>The table is always one that was on the platform, never a mix, since a delta is applied only
- * to its base version; and its version only grows. A delta that was lost, or came before its base,
- * shows as a gap: the replica then asks one peer at a time. Not thread-safe; one shard drives it.
+ * <p>The table is always one that was stored on the platform, never a mixture of two, since a delta
+ * is applied only to its base version; and its version only increases. A delta that was lost or
+ * received before its base causes a gap; the replica then requests the missing changes from one
+ * peer at a time. Not thread-safe; confined to one shard.
  */
 public final class OwnershipReplica {
 
-  /** Between two requests: a round trip within a region, with room for a busy peer. */
-  static final long ASK_AGAIN_MILLIS = 250;
+  /**
+   * Interval between two requests; covers a round trip within a region and the delay of a busy
+   * peer.
+   */
+  static final long REQUEST_INTERVAL_MILLIS = 250;
 
-  /** Deltas kept to answer peers that are this many changes behind; others get the whole table. */
-  static final int HISTORY = 16;
+  /**
+   * Number of deltas kept for peers that are at most this many changes behind; other peers receive
+   * the complete table.
+   */
+  static final int HISTORY_SIZE = 16;
 
   private final DaemonId self;
   private final Deque<OwnershipDelta> history = new ArrayDeque<>();
   private final Map<DaemonId, Long> holders = new TreeMap<>();
-  private final Set<DaemonId> asked = new HashSet<>();
+  private final Set<DaemonId> requested = new HashSet<>();
   private OwnershipTable table = OwnershipTable.EMPTY;
   private long pushedVersion;
-  private long askAt = Long.MIN_VALUE;
+  private long nextRequestAt = Long.MIN_VALUE;
 
   private OwnershipReplica(DaemonId self) {
     this.self = Objects.requireNonNull(self, "self");
   }
 
   /**
-   * Returns a replica that knows no table yet.
+   * Returns a replica with an empty table.
    *
-   * @param self the daemon, which spreads the requests of several over their peers
+   * @param self the daemon; ranks the peers differently for each daemon, so that requests are
+   *     spread over them
    */
   public static OwnershipReplica create(DaemonId self) {
     return new OwnershipReplica(self);
   }
 
-  /** Returns the newest table known. */
+  /** Returns the newest table received. */
   public OwnershipTable table() {
     return table;
   }
 
   /**
-   * Takes in a whole table; an older one changes nothing.
+   * Handles a complete table; one that is not newer changes nothing.
    *
-   * @param seen the table
-   * @return what it changed; empty if it is not newer than the one known
+   * @param received the table
+   * @return the changes; empty if the table is not newer than the current one
    */
-  public Optional<OwnershipDelta> tableReceived(OwnershipTable seen) {
-    if (seen.version() <= table.version()) {
+  public Optional<OwnershipDelta> tableReceived(OwnershipTable received) {
+    if (received.version() <= table.version()) {
       return Optional.empty();
     }
-    return Optional.of(advance(OwnershipDelta.between(table, seen), seen));
+    return Optional.of(advance(OwnershipDelta.between(table, received), received));
   }
 
   /**
-   * Takes in a delta. One that leads from another version than the one known changes nothing; if it
-   * leads to a newer one, that version is asked for.
+   * Handles a delta. A delta with a different base version than the current table changes nothing;
+   * if it results in a newer version, that version is requested from peers.
    *
    * @param delta the delta
-   * @return whether the table is newer now
+   * @return whether the delta was applied
    */
   public boolean deltaReceived(OwnershipDelta delta) {
     if (delta.version() <= table.version()) {
@@ -98,17 +105,17 @@
   private OwnershipDelta advance(OwnershipDelta delta, OwnershipTable next) {
     table = next;
     history.addLast(delta);
-    if (history.size() > HISTORY) {
+    if (history.size() > HISTORY_SIZE) {
       history.removeFirst();
     }
     holders.values().removeIf(version -> version <= next.version());
-    asked.clear();
-    askAt = Long.MIN_VALUE;
+    requested.clear();
+    nextRequestAt = Long.MIN_VALUE;
     return delta;
   }
 
   /**
-   * Takes in which version a peer holds, as its heartbeat says.
+   * Handles the table version of a peer's heartbeat.
    *
    * @param peer the peer
    * @param version the version
@@ -120,53 +127,54 @@
   }
 
   /**
-   * Returns the peer to ask for what is newer than the table known, if something is and it is time.
+   * Returns the peer to request newer changes from; empty if there are none or no request is due.
    *
-   * <p>A push goes to every daemon, so after a gap any of them is as good as its writer; were it
-   * the writer, each daemon that misses the base would draw the whole table from one process. Each
-   * daemon has its own order of peers, and the next is asked if one has not helped.
+   * <p>A delta is pushed to every daemon, so any peer can fill a gap. If requests went to the
+   * writer only, every daemon that misses the base would fetch the complete table from one process.
+   * Each daemon has its own order of peers, and requests from the next one if the previous one did
+   * not fill the gap.
    *
    * @param now the time
-   * @param peers the daemons that are connected and were sent what this one was sent
+   * @param peers the connected daemons, which were sent the same deltas as this one
    */
   public Optional<DaemonId> ask(long now, Collection<DaemonId> peers) {
-    Set<DaemonId> known = new HashSet<>(holders.keySet());
+    Set<DaemonId> sources = new HashSet<>(holders.keySet());
     if (pushedVersion > table.version()) {
-      known.addAll(peers);
+      sources.addAll(peers);
     }
-    if (known.isEmpty() || now < askAt) {
+    if (sources.isEmpty() || now < nextRequestAt) {
       return Optional.empty();
     }
-    if (asked.containsAll(known)) {
-      asked.clear();
+    if (requested.containsAll(sources)) {
+      requested.clear();
     }
-    List<DaemonId> ranked = RendezvousHash.rank("table/" + self, known);
+    List<DaemonId> ranked = RendezvousHash.rank("table/" + self, sources);
     Optional<DaemonId> peer =
         ranked.stream()
-            .filter(candidate -> !asked.contains(candidate))
+            .filter(candidate -> !requested.contains(candidate))
             .min(Comparator.comparing(candidate -> !holders.containsKey(candidate)));
-    peer.ifPresent(asked::add);
-    askAt = now + ASK_AGAIN_MILLIS;
+    peer.ifPresent(requested::add);
+    nextRequestAt = now + REQUEST_INTERVAL_MILLIS;
     return peer;
   }
 
-  /** Returns whether a peer that knows a version is behind this replica. */
-  public boolean isNewerThan(long knownVersion) {
-    return table.version() > knownVersion;
+  /** Returns whether this replica is newer than the given version of a peer. */
+  public boolean isNewerThan(long peerVersion) {
+    return table.version() > peerVersion;
   }
 
   /**
-   * Returns the delta for a peer that knows a version; empty if the table has to be sent whole,
-   * because the version is none of the last ones or is not behind.
+   * Returns the delta for a peer that holds the given version; empty if the complete table has to
+   * be sent, because the version is not the base of a kept delta.
    *
-   * @param knownVersion the version that the peer holds
+   * @param peerVersion the version that the peer holds
    */
-  public Optional<OwnershipDelta> deltaSince(long knownVersion) {
+  public Optional<OwnershipDelta> deltaSince(long peerVersion) {
     Optional<OwnershipDelta> found = Optional.empty();
     for (OwnershipDelta delta : history) {
       if (found.isPresent()) {
-        found = Optional.of(found.get().then(delta));
-      } else if (delta.baseVersion() == knownVersion) {
+        found = Optional.of(found.get().compose(delta));
+      } else if (delta.baseVersion() == peerVersion) {
         found = Optional.of(delta);
       }
     }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipSettings.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipSettings.java
@@ -1,19 +1,21 @@
 package io.sequoiapass.coordination.process;
 
 /**
- * Holds the times and bounds of {@link OwnershipPlanner}.
+ * Timing settings and limits of {@link OwnershipPlanner}.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param proposers how many daemons of a data centre propose at once; two, so that the loss of one
- *     delays no takeover, and no more, since all but one conflict
- * @param rankDelayMillis how long each next-ranked daemon waits for those before it; above one
- *     call's time, so that it mostly finds the work done
- * @param loadFactor how far above the mean a daemon's share of endpoints may rise; below 1.1 a
- *     change moves endpoints of daemons that it does not concern
- * @param maxMoves how many endpoints a daemon hands over in one write for balance alone
- * @param settleMillis how long a daemon must have been a candidate before endpoints move to it for
- *     balance alone, so that one which comes and goes moves nothing
+ * @param proposers the number of daemons of a data centre that read leases for a takeover without
+ *     delay; two, so that the loss of one delays no takeover, and no more, since all writes but one
+ *     conflict
+ * @param rankDelayMillis the additional delay of each next-ranked daemon; above the duration of one
+ *     call, so that the write of a higher-ranked daemon is usually visible by then
+ * @param loadFactor the maximum load of a daemon relative to the mean; below 1.1 a change moves
+ *     endpoints of unrelated daemons
+ * @param maxMoves the maximum number of endpoints that a daemon hands over in one write for
+ *     rebalancing
+ * @param settleMillis the time that a daemon must have been a candidate before endpoints move to it
+ *     for rebalancing, so that a flapping daemon moves none
  */
 public record OwnershipSettings(
     int proposers, long rankDelayMillis, double loadFactor, int maxMoves, long settleMillis) {
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipTable.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipTable.java
@@ -13,23 +13,23 @@
 import java.util.TreeSet;
 
 /**
- * Tells which daemon process owns each endpoint of one data centre, at one version of the
- * platform's object.
+ * Owners of the endpoints of one data centre, at one version of the platform's object.
  *
  * <pre>{@code
  * OwnershipTable table = OwnershipTable.of(version, epoch, owners, incarnations);
  * Optional<DaemonId> owner = table.owner(endpoint);
- * FencingNumber fence = table.fence();
+ * FencingNumber number = table.fence();
  * }</pre>
  *
- * <p>The process is named because a frozen one that was replaced under its name learns newer tables
- * from its peers, and would order under the same fencing number as its successor.
+ * <p>The table records the incarnation of each owner. A frozen process that was replaced by a new
+ * one with the same daemon name receives newer tables from its peers, and would otherwise send
+ * orders with the same fencing number as its successor.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
 public final class OwnershipTable {
 
-  /** The table before any was written. */
+  /** The table before the first one is written. */
   public static final OwnershipTable EMPTY = new OwnershipTable(0, 0, Map.of(), Map.of());
 
   private final long version;
@@ -37,7 +37,10 @@
   private final Map<EndpointId, DaemonId> owners;
   private final Map<DaemonId, Long> incarnations;
 
-  /** Asked each round; counted from the owners, it would cost a pass over all endpoints each. */
+  /**
+   * Index of the owners, used in each control round; without it, each lookup would scan all
+   * endpoints.
+   */
   private final Map<DaemonId, Set<EndpointId>> shares = new TreeMap<>();
 
   private OwnershipTable(
@@ -51,18 +54,18 @@
     this.owners.forEach(
         (endpoint, owner) ->
             shares.computeIfAbsent(owner, daemon -> new TreeSet<>()).add(endpoint));
-    Map<DaemonId, Long> named = new TreeMap<>(incarnations);
-    named.keySet().retainAll(shares.keySet());
-    this.incarnations = Collections.unmodifiableMap(named);
+    Map<DaemonId, Long> merged = new TreeMap<>(incarnations);
+    merged.keySet().retainAll(shares.keySet());
+    this.incarnations = Collections.unmodifiableMap(merged);
   }
 
   /**
    * Returns a table.
    *
-   * @param version the object's version on the platform; 0 for one not written yet
-   * @param epoch counts the changes of the table
+   * @param version the object's version on the platform; 0 if it is not written yet
+   * @param epoch the count of changes of the table
    * @param owners the owner of each endpoint
-   * @param incarnations which process of each owner
+   * @param incarnations the incarnation of each owner
    */
   public static OwnershipTable of(
       long version,
@@ -81,12 +84,12 @@
     return version;
   }
 
-  /** Returns the count of the table's changes. */
+  /** Returns the count of changes of the table. */
   public long epoch() {
     return epoch;
   }
 
-  /** Returns the number that every order under this table carries. */
+  /** Returns the fencing number of orders sent under this table. */
   public FencingNumber fence() {
     return new FencingNumber(version);
   }
@@ -96,12 +99,12 @@
     return owners;
   }
 
-  /** Returns which process of each owner the table names. */
+  /** Returns the incarnation of each owner. */
   public Map<DaemonId, Long> incarnations() {
     return incarnations;
   }
 
-  /** Returns the number of the process that owns for a daemon; -1 for one that owns nothing. */
+  /** Returns the incarnation of an owner; -1 for a daemon that owns no endpoint. */
   public long incarnation(DaemonId daemon) {
     return incarnations.getOrDefault(daemon, -1L);
   }
@@ -111,17 +114,17 @@
     return Optional.ofNullable(owners.get(endpoint));
   }
 
-  /** Returns the daemons that own something. */
+  /** Returns the daemons that own at least one endpoint. */
   public Set<DaemonId> daemons() {
     return new TreeSet<>(shares.keySet());
   }
 
-  /** Returns the endpoints of a daemon. */
+  /** Returns the endpoints that a daemon owns. */
   public Set<EndpointId> ownedBy(DaemonId daemon) {
     return new TreeSet<>(shares.getOrDefault(daemon, Set.of()));
   }
 
-  /** Returns how many endpoints a daemon owns. */
+  /** Returns the number of endpoints that a daemon owns. */
   public int countOf(DaemonId daemon) {
     return shares.getOrDefault(daemon, Set.of()).size();
   }
@@ -138,21 +141,21 @@
     return gained;
   }
 
-  /** Returns this table with other owners for some endpoints, one epoch on and not written yet. */
+  /** Returns a changed copy of this table with the next epoch, not written yet. */
   OwnershipTable next(
       Map<EndpointId, DaemonId> changed,
       Collection<EndpointId> removed,
-      Map<DaemonId, Long> processes) {
+      Map<DaemonId, Long> newIncarnations) {
     Map<EndpointId, DaemonId> next = new TreeMap<>(owners);
     next.putAll(changed);
     next.keySet().removeAll(new TreeSet<>(removed));
-    Map<DaemonId, Long> named = new TreeMap<>(incarnations);
-    processes.forEach((daemon, number) -> named.merge(daemon, number, Math::max));
-    return new OwnershipTable(0, epoch + 1, next, named);
+    Map<DaemonId, Long> merged = new TreeMap<>(incarnations);
+    newIncarnations.forEach((daemon, incarnation) -> merged.merge(daemon, incarnation, Math::max));
+    return new OwnershipTable(0, epoch + 1, next, merged);
   }
 
-  /** Returns this table as the platform stored it. */
-  OwnershipTable storedAs(long storedVersion) {
+  /** Returns this table with the version under which the platform stored it. */
+  OwnershipTable withVersion(long storedVersion) {
     return new OwnershipTable(storedVersion, epoch, owners, incarnations);
   }
 
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/PlatformContact.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/PlatformContact.java
@@ -1,7 +1,7 @@
 package io.sequoiapass.coordination.process;
 
 /**
- * Tells whether the platform answers this daemon, and since when without a break.
+ * Tracks whether this daemon reaches the platform, and since when without interruption.
  *
  * <pre>{@code
  * PlatformContact contact = PlatformContact.create(LeaseSettings.DEFAULT, now);
@@ -9,15 +9,15 @@
  * boolean out = contact.isOut(now + 9_000);
  * }</pre>
  *
- * <p>Every call to the platform reports here, so renewals alone keep it fresh. Not thread-safe; one
- * shard drives it.
+ * <p>Every call to the platform reports its result here, so lease renewals are sufficient to keep
+ * the state current. Not thread-safe; confined to one shard.
  */
 public final class PlatformContact {
 
   private final long outAfterMillis;
-  private long since;
+  private long reachableSince;
   private long lastSuccess;
-  private boolean inContact;
+  private boolean answeredOnce;
 
   private PlatformContact(long outAfterMillis, long now) {
     this.outAfterMillis = outAfterMillis;
@@ -25,7 +25,7 @@
   }
 
   /**
-   * Returns a contact that waits for its first answer.
+   * Returns an instance that counts the platform as out until the first answer.
    *
    * @param settings the times
    * @param now the time
@@ -34,22 +34,25 @@
     return new PlatformContact(settings.outAfterMillis(), now);
   }
 
-  /** Takes in that a call was answered, also by a conflict. */
+  /** Records that a call was answered, including by a conflict. */
   public void succeeded(long now) {
     if (isOut(now)) {
-      since = now;
+      reachableSince = now;
     }
-    inContact = true;
+    answeredOnce = true;
     lastSuccess = now;
   }
 
   /** Returns whether the platform is out for this daemon. */
   public boolean isOut(long now) {
-    return !inContact || now - lastSuccess >= outAfterMillis;
+    return !answeredOnce || now - lastSuccess >= outAfterMillis;
   }
 
-  /** Returns when the unbroken contact began; only meaningful while the platform is not out. */
-  public long since() {
-    return since;
+  /**
+   * Returns since when the platform has been reached without interruption; only meaningful while it
+   * is not out.
+   */
+  public long reachableSince() {
+    return reachableSince;
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/RendezvousHash.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/RendezvousHash.java
@@ -12,16 +12,16 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Ranks candidates for a key by weighted rendezvous hashing, so that every process that knows the
- * same candidates finds the same order without a message.
+ * Weighted rendezvous hashing: processes with the same candidates compute the same ranking for a
+ * key without communication.
  *
  * <pre>{@code
  * List<DaemonId> ranked = RendezvousHash.rank("yard-north-engine-4", daemons, daemon -> 1.0);
  * }</pre>
  *
- * <p>A candidate that leaves moves only the keys that it came first for. Names come from {@code
- * toString}, which the identifiers of this library define as their value. The methods are pure and
- * safe for use by several threads.
+ * <p>The removal of a candidate moves only the keys for which it ranked first. Candidates are
+ * hashed by {@code toString}, which the identifiers of this library define as their value. The
+ * methods are pure and safe for use by several threads.
  */
 public final class RendezvousHash {
 
@@ -31,11 +31,11 @@
   private RendezvousHash() {}
 
   /**
-   * Returns the candidates, best first; those whose weight is zero are left out.
+   * Returns the candidates, best first; candidates with weight zero are omitted.
    *
-   * @param key what is to be placed
-   * @param candidates the candidates, each with a name of its own
-   * @param weight the share of keys a candidate takes, relative to the others'
+   * @param key the key to place
+   * @param candidates the candidates, with distinct names
+   * @param weight the share of keys of a candidate, relative to other candidates
    * @throws IllegalArgumentException if a weight is negative or not finite
    */
   public static <T> List<T> rank(
@@ -56,9 +56,9 @@
   }
 
   /**
-   * Returns the candidates of equal weight, best first.
+   * Returns the candidates, best first, with equal weights.
    *
-   * @param key what is to be placed
+   * @param key the key to place
    * @param candidates the candidates
    */
   public static <T> List<T> rank(String key, Collection<T> candidates) {
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Returns the best candidate of equal weight, if there is any.
+   * Returns the best candidate, with equal weights; empty if there are no candidates.
    *
-   * @param key what is to be placed
+   * @param key the key to place
    * @param candidates the candidates
    */
   public static <T> Optional<T> first(String key, Collection<T> candidates) {
@@ -83,7 +83,7 @@
   }
 
   private static double score(String key, String candidate, double weight) {
-    // The length keeps ("ab", "c") apart from ("a", "bc").
+    // The length makes ("ab", "c") and ("a", "bc") hash differently.
     byte[] bytes = (key.length() + ":" + key + candidate).getBytes(StandardCharsets.UTF_8);
     long hash = MurmurHash3.hash128x64(bytes, 0, bytes.length, SEED)[0];
     double uniform = ((hash >>> (Long.SIZE - UNIFORM_BITS)) + 0.5) / (1L << UNIFORM_BITS);
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/ServingRole.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/ServingRole.java
@@ -1,12 +1,15 @@
 package io.sequoiapass.coordination.process;
 
-/** What a daemon is to an endpoint at one moment. */
+/** Role of a daemon for an endpoint. */
 public enum ServingRole {
-  /** Owns it: serves it and, as far as its lease goes, gives it orders. */
+  /** Owner: serves the endpoint and, as far as its lease permits, sends it orders. */
   OWNER(true, true),
-  /** Stands in for a dead owner while the platform is out: resident adapters only, no orders. */
-  DEPUTY(true, false),
-  /** Neither. */
+  /**
+   * Serves the endpoint while its owner is dead and the platform is out; resident adapters only, no
+   * orders.
+   */
+  BACKUP_OWNER(true, false),
+  /** Neither owner nor backup owner. */
   NONE(false, false);
 
   private final boolean serves;
@@ -17,12 +20,12 @@
     this.orders = orders;
   }
 
-  /** Returns whether it sends requests to the endpoint, on adapters that are resident there. */
+  /** Returns whether it may send requests to the endpoint for adapters that are resident there. */
   public boolean mayServeResident() {
     return serves;
   }
 
-  /** Returns whether it gives orders at all; {@link LeaseKeeper#mayOrder} tells which. */
+  /** Returns whether it may send orders; {@link LeaseKeeper#mayOrder} decides about each order. */
   public boolean mayGiveOrders() {
     return orders;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/StoredLease.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/StoredLease.java
@@ -1,7 +1,7 @@
 package io.sequoiapass.coordination.process;
 
 /**
- * A lease object as the platform stores it.
+ * Lease object as stored on the platform.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/package-info.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions that live as long as the process: membership, leases and ownership of endpoints. */
+/** Decision logic with process-long state: membership, leases and ownership of endpoints. */
 package io.sequoiapass.coordination.process;
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/MembershipTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/MembershipTest.java
@@ -15,12 +15,12 @@
   private final Membership membership = Membership.create(MembershipSettings.DEFAULT, 0);
 
   @BeforeEach
-  void peerIsHeard() {
+  void receiveHeartbeat() {
     membership.heartbeatReceived(0, PEER, 7, MemberState.ALIVE);
   }
 
   @Test
-  void silenceIsSuspectedThenBelieved() {
+  void silentPeerIsSuspectedThenDead() {
     tickUntil(2_400);
     assertThat(membership.state(PEER)).isEqualTo(MemberState.ALIVE);
     tickUntil(2_500);
@@ -29,10 +29,11 @@
     assertThat(membership.state(PEER)).isEqualTo(MemberState.DEAD);
   }
 
-  // A daemon is killed right after it renewed its lease, which nobody was told. Each third of a
-  // second until the lease is read again delays the takeover of its endpoints by as much.
+  // Guards against a late takeover: a daemon is killed right after it renewed its lease, before it
+  // announced the renewal. Any delay until its lease is read again delays the takeover of its
+  // endpoints by the same time.
   @Test
-  void anOverdueHeartbeatIsToldOnceLongBeforeTheSuspicion() {
+  void overdueHeartbeatIsReportedOnceBeforeSuspicion() {
     tickUntil(1_200);
     assertThat(membership.overdue(1_200)).isEmpty();
     tickUntil(1_300);
@@ -46,14 +47,14 @@
   }
 
   @Test
-  void aDrainingDaemonIsReachableAndNoCandidate() {
+  void drainingDaemonIsReachableButNoCandidate() {
     membership.heartbeatReceived(500, PEER, 7, MemberState.DRAINING);
     assertThat(membership.state(PEER).isReachable()).isTrue();
     assertThat(membership.candidates()).isEmpty();
   }
 
   @Test
-  void aNewProcessUnderTheNameIsReported() {
+  void newIncarnationIsReportedAsRestart() {
     assertThat(membership.heartbeatReceived(500, PEER, 8, MemberState.ALIVE))
         .hasValueSatisfying(change -> assertThat(change.restarted()).isTrue());
     assertThat(membership.heartbeatReceived(600, PEER, 7, MemberState.DRAINING)).isEmpty();
@@ -61,43 +62,47 @@
   }
 
   @Test
-  void settingsThatLeaveNoRoomAreRefused() {
+  void rejectsSuspicionBelowTwoHeartbeatIntervals() {
     assertThatThrownBy(() -> new MembershipSettings(1_000, 1_900, 4_000, 60_000))
         .hasMessageContaining("1900");
   }
 
-  /** The platform's list lags by minutes: a host it calls leaving may have come back. */
+  /**
+   * Guards against trust in the platform's host list, which lags by minutes: a host listed as
+   * leaving may have rejoined.
+   */
   @Nested
   class HostHints {
 
     @Test
-    void aHostThatIsHeardIsAliveWhateverTheListSays() {
-      membership.hinted(PEER, HostHint.LEAVING);
+    void hostWithHeartbeatsIsAliveWhateverTheHint() {
+      membership.updateHint(PEER, HostHint.LEAVING);
       tickUntil(1_000);
       assertThat(membership.state(PEER)).isEqualTo(MemberState.ALIVE);
     }
 
     @Test
-    void silenceOfAHostThatLeavesIsBelievedSooner() {
-      membership.hinted(PEER, HostHint.ABSENT);
+    void silentHostWithHintIsDeadSooner() {
+      membership.updateHint(PEER, HostHint.ABSENT);
       tickUntil(2_000);
       assertThat(membership.state(PEER)).isEqualTo(MemberState.DEAD);
     }
 
     @Test
-    void aSilentHostIsDeadThoughTheListCallsItLive() {
-      membership.hinted(PEER, HostHint.LIVE);
+    void silentHostIsDeadDespiteLiveHint() {
+      membership.updateHint(PEER, HostHint.LIVE);
       tickUntil(4_000);
       assertThat(membership.state(PEER)).isEqualTo(MemberState.DEAD);
     }
   }
 
   /**
-   * A daemon that was frozen for a minute wakes and sends everybody's work elsewhere, because it
-   * read no heartbeat meanwhile. Its own gap is forgiven; silence after it counts.
+   * Guards against a daemon that resumes after a freeze of a minute, has read no heartbeats
+   * meanwhile, and sends the work of all peers elsewhere. Its own pause does not count as silence
+   * of its peers; missing heartbeats after it do.
    */
   @Test
-  void aFrozenDaemonDoesNotCallItsPeersDead() {
+  void peersStayAliveAfterOwnPause() {
     tickUntil(500);
     assertThat(membership.tick(60_500)).isEmpty();
     assertThat(membership.state(PEER)).isEqualTo(MemberState.ALIVE);
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipFuzzTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipFuzzTest.java
@@ -19,25 +19,26 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
 /**
- * A caller sees a stream end early when its adapter is unloaded under it: by an owner that was
- * frozen, cut off or replaced and still orders an endpoint that another owns by now. Faults come in
- * any order and number; at no moment may such an order be given, and once all heal every endpoint
- * has an owner again. The judge reads the platform's table, which no daemon sees at that moment.
+ * Guards against streams that end early because a former owner unloads their adapter: it was
+ * frozen, partitioned or replaced, and still sends orders to an endpoint that another daemon owns.
+ * With faults in any order and number, no such order may be sent, and once all faults are healed
+ * every endpoint has an owner again. The check uses the platform's current table, which the daemons
+ * may not have received yet.
  */
 class OwnershipFuzzTest {
 
   private static final int DAEMONS = 4;
-  private static final long HEALED_MILLIS = 90_000;
+  private static final long RECOVERY_MILLIS = 90_000;
 
   @Property(tries = 150, seed = "20261202")
-  void noOrderComesFromAFormerOwner(@ForAll("faults") ActionChain<SimulatedDataCentre> faults) {
+  void formerOwnerSendsNoOrders(@ForAll("faults") ActionChain<SimulatedDataCentre> faults) {
     check(faults);
   }
 
-  /** The longer run: {@code mvn test -pl coordination -Dsequoiapass.fuzz.chains=5000}. */
+  /** Long run: {@code mvn test -pl coordination -Dsequoiapass.fuzz.chains=5000}. */
   @Test
   @EnabledIfSystemProperty(named = "sequoiapass.fuzz.chains", matches = "\\d+")
-  void noOrderComesFromAFormerOwnerInManyChains() {
+  void formerOwnerSendsNoOrdersInManyChains() {
     int count = Integer.getInteger("sequoiapass.fuzz.chains");
     JqwikSession.run(
         () -> {
@@ -54,7 +55,7 @@
   static void check(ActionChain<SimulatedDataCentre> faults) {
     SimulatedDataCentre world = faults.withInvariant("safe", SimulatedDataCentre::assertSafe).run();
     world.heal();
-    world.run(HEALED_MILLIS);
+    world.run(RECOVERY_MILLIS);
     world.assertSafe();
     world.assertServed();
   }
@@ -68,7 +69,7 @@
     Arbitrary<Long> seeds = Arbitraries.longs().between(1, 1_000_000);
     return seeds.flatMap(
         seed ->
-            ActionChain.startWith(() -> settled(seed))
+            ActionChain.startWith(() -> startedDataCentre(seed))
                 .withAction(6, step("run", 100, 9_000, SimulatedDataCentre::run))
                 .withAction(2, step("freeze", 0, 3, (w, i) -> w.daemon(i).frozen = true))
                 .withAction(2, step("thaw", 0, 3, (w, i) -> w.daemon(i).frozen = false))
@@ -83,7 +84,7 @@
                 .withMaxTransformations(40));
   }
 
-  private static SimulatedDataCentre settled(long seed) {
+  private static SimulatedDataCentre startedDataCentre(long seed) {
     SimulatedDataCentre world = new SimulatedDataCentre(seed, DAEMONS);
     world.run(15_000);
     return world;
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipPlannerTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipPlannerTest.java
@@ -49,7 +49,7 @@
     return planner;
   }
 
-  private OwnershipTable full() {
+  private OwnershipTable fullTable() {
     OwnershipPlanner planner = planner(ranked.get(0), ranked, OwnershipTable.EMPTY);
     OwnershipProposal proposal = planner.takeOver(0).orElseThrow();
     planner.answered(0, proposal.operation(), new WriteAnswer.Stored(40));
@@ -57,8 +57,8 @@
   }
 
   @Test
-  void noDaemonIsFarAboveItsShare() {
-    OwnershipTable table = full();
+  void everyDaemonIsNearItsShare() {
+    OwnershipTable table = fullTable();
     assertThat(table.owners()).hasSize(ENDPOINTS);
     for (DaemonId daemon : ranked) {
       assertThat(table.ownedBy(daemon)).hasSizeBetween(15, 39);
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void theSecondRankedWaitsForTheFirst() {
+  void secondRankedWaitsForFirst() {
     OwnershipPlanner second = planner(ranked.get(1), ranked, OwnershipTable.EMPTY);
     assertThat(second.takeOver(0)).isEmpty();
     assertThat(second.takeOver(1_499)).isEmpty();
@@ -74,8 +74,8 @@
   }
 
   @Test
-  void aLapsedLeaseMovesOnlyItsOwnersEndpoints() {
-    OwnershipTable before = full();
+  void expiredLeaseMovesOnlyEndpointsOfItsHolder() {
+    OwnershipTable before = fullTable();
     DaemonId dead = ranked.get(5);
     List<DaemonId> alive = new ArrayList<>(ranked);
     alive.remove(dead);
@@ -103,16 +103,19 @@
     assertThat(after.owners()).hasSize(ENDPOINTS);
   }
 
-  /** A planned stop: its orders for the endpoints end before the write goes out, lost or not. */
+  /**
+   * Guards against two owners during a planned stop: the orders of the former owner stop before the
+   * write is sent, even if its answer is lost.
+   */
   @Nested
   class Handover {
 
-    private final DaemonId leaver = ranked.get(3);
-    private final OwnershipPlanner planner = planner(leaver, ranked, full());
-    private final EndpointId endpoint = planner.table().ownedBy(leaver).iterator().next();
+    private final DaemonId formerOwner = ranked.get(3);
+    private final OwnershipPlanner planner = planner(formerOwner, ranked, fullTable());
+    private final EndpointId endpoint = planner.table().ownedBy(formerOwner).iterator().next();
 
     @Test
-    void ordersStopBeforeTheWriteAndEndWithIt() {
+    void ordersStopBeforeWriteUntilOutcomeIsKnown() {
       assertThat(planner.isOwned(endpoint)).isTrue();
       OwnershipProposal proposal = planner.handOver(0, Set.of(endpoint)).orElseThrow();
       assertThat(planner.isOwned(endpoint)).isFalse();
@@ -124,11 +127,13 @@
           proposal.operation(),
           new WriteAnswer.Conflict(41, Optional.of(proposal.operation())));
       assertThat(planner.table().version()).isEqualTo(41);
-      assertThat(planner.table().owner(endpoint)).isPresent().isNotEqualTo(Optional.of(leaver));
+      assertThat(planner.table().owner(endpoint))
+          .isPresent()
+          .isNotEqualTo(Optional.of(formerOwner));
     }
 
     @Test
-    void onlyTheProcessThatTheTableNamesGivesAway() {
+    void onlyIncarnationInTableHandsOver() {
       Map<DaemonId, Candidate> candidates = new TreeMap<>();
       ranked.forEach(daemon -> candidates.put(daemon, new Candidate(1, 1)));
       planner.candidatesAre(0, 2, candidates);
@@ -140,20 +145,25 @@
     }
 
     @Test
-    void aConflictGivesTheEndpointBackOnceTheOtherTableIsKnown() {
+    void conflictReturnsEndpointOnceNewerTableIsReceived() {
       OwnershipProposal proposal = planner.handOver(0, Set.of(endpoint)).orElseThrow();
       planner.answered(0, proposal.operation(), new WriteAnswer.Conflict(41, Optional.empty()));
       assertThat(planner.isOwned(endpoint)).as("before the table is known").isFalse();
-      OwnershipTable mine = planner.table();
+      OwnershipTable currentTable = planner.table();
       planner.tableSeen(
-          1, OwnershipTable.of(41, mine.epoch() + 1, mine.owners(), mine.incarnations()));
+          1,
+          OwnershipTable.of(
+              41, currentTable.epoch() + 1, currentTable.owners(), currentTable.incarnations()));
       assertThat(planner.isOwned(endpoint)).isTrue();
     }
   }
 
-  /** The platform is out and an owner dead: requests for what is resident still find a daemon. */
+  /**
+   * Guards against refused requests for resident adapters while the owner is dead and the platform
+   * is out.
+   */
   @Nested
-  class Deputies {
+  class BackupOwners {
 
     private final DaemonId self = new DaemonId("self");
     private final DaemonId owner = new DaemonId("owner");
@@ -161,21 +171,21 @@
     private final OwnershipTable table =
         OwnershipTable.of(5, 1, Map.of(endpoint, owner), Map.of(owner, 1L));
     private final Membership membership = Membership.create(MembershipSettings.DEFAULT, 0);
-    private final DeputyRule rule = DeputyRule.create(self);
+    private final DeputyRule selector = DeputyRule.create(self);
 
     @Test
-    void aDeputyServesWhatIsResidentAndOrdersNothing() {
-      ServingRole role = rule.role(endpoint, table, membership, true);
-      assertThat(role).isEqualTo(ServingRole.DEPUTY);
+    void backupOwnerServesResidentAdaptersWithoutOrders() {
+      ServingRole role = selector.role(endpoint, table, membership, true);
+      assertThat(role).isEqualTo(ServingRole.BACKUP_OWNER);
       assertThat(role.mayServeResident()).isTrue();
       assertThat(role.mayGiveOrders()).isFalse();
     }
 
     @Test
-    void nobodyStandsInForALivingOwnerOrWhileThePlatformCanNameAnother() {
-      assertThat(rule.role(endpoint, table, membership, false)).isEqualTo(ServingRole.NONE);
+    void noBackupOwnerWhileOwnerIsAliveOrPlatformIsReachable() {
+      assertThat(selector.role(endpoint, table, membership, false)).isEqualTo(ServingRole.NONE);
       membership.heartbeatReceived(0, owner, 1, MemberState.ALIVE);
-      assertThat(rule.server(endpoint, table, membership, true)).contains(owner);
+      assertThat(selector.server(endpoint, table, membership, true)).contains(owner);
     }
   }
 }
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipReplicaFuzzTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipReplicaFuzzTest.java
@@ -20,10 +20,11 @@
 import net.jqwik.api.state.Transformer;
 
 /**
- * A caller's request goes to a daemon that does not own the endpoint, and is refused, because an
- * entry mixed two tables or went back to an older one. Two daemons write tables by turns and push
- * deltas; these are lost, doubled and reordered. Every replica must hold a table that the platform
- * held, never an older one after a newer, and all hold the newest once messages arrive again.
+ * Guards against requests that are forwarded to a daemon that does not own the endpoint, and
+ * refused, because an entry daemon mixed two tables or reverted to an older one. Two daemons write
+ * tables in turn and push deltas, which are lost, duplicated and reordered. Every replica must hold
+ * a table that was stored on the platform, never an older one after a newer one, and all must
+ * converge on the newest once messages are delivered again.
  */
 class OwnershipReplicaFuzzTest {
 
@@ -32,14 +33,14 @@
   private static final int ENDPOINTS = 9;
   private static final int HEALING_ROUNDS = 40;
 
-  /** The platform's tables, the daemons' replicas and what is on its way between them. */
+  /** The platform's tables, the daemons' replicas and the messages in flight between them. */
   private static final class World {
     private final Random random = new Random(7);
     private final List<DaemonId> daemons = new ArrayList<>();
     private final List<OwnershipReplica> replicas = new ArrayList<>();
     private final Map<Long, OwnershipTable> written = new TreeMap<>();
     private final long[] versions = new long[DAEMONS];
-    private final List<Runnable> underWay = new ArrayList<>();
+    private final List<Runnable> inFlight = new ArrayList<>();
     private OwnershipTable newest = OwnershipTable.EMPTY;
     private long now;
 
@@ -51,7 +52,7 @@
       }
     }
 
-    /** A conditional write: it is stored only if the writer knows the newest table. */
+    /** Writes conditionally: the table is stored only if the writer holds the newest one. */
     void write(int writer) {
       OwnershipReplica replica = replicas.get(writer);
       if (replica.table().version() != newest.version()) {
@@ -60,7 +61,7 @@
       OwnershipTable stored = changed(newest);
       written.put(stored.version(), stored);
       newest = stored;
-      underWay.add(
+      inFlight.add(
           () ->
               replica
                   .tableReceived(stored)
@@ -84,7 +85,7 @@
     }
 
     private void push(int to, OwnershipDelta delta) {
-      underWay.add(() -> replicas.get(to).deltaReceived(delta));
+      inFlight.add(() -> replicas.get(to).deltaReceived(delta));
     }
 
     private List<Integer> others(int daemon) {
@@ -99,59 +100,59 @@
 
     void heartbeat(int from, int to) {
       long version = replicas.get(from).table().version();
-      underWay.add(() -> replicas.get(to).versionSeen(daemons.get(from), version));
+      inFlight.add(() -> replicas.get(to).versionSeen(daemons.get(from), version));
     }
 
-    void ask(int daemon) {
+    void requestUpdate(int daemon) {
       List<DaemonId> peers = others(daemon).stream().map(daemons::get).toList();
       OwnershipReplica replica = replicas.get(daemon);
-      long known = replica.table().version();
+      long knownVersion = replica.table().version();
       Optional<DaemonId> peer = replica.ask(now, peers);
       peer.ifPresent(
-          asked -> {
-            int answering = daemons.indexOf(asked);
-            underWay.add(() -> answer(answering, daemon, known));
+          requestedPeer -> {
+            int answering = daemons.indexOf(requestedPeer);
+            inFlight.add(() -> answer(answering, daemon, knownVersion));
           });
     }
 
-    private void answer(int from, int to, long known) {
+    private void answer(int from, int to, long knownVersion) {
       OwnershipReplica replica = replicas.get(from);
-      if (!replica.isNewerThan(known)) {
+      if (!replica.isNewerThan(knownVersion)) {
         return;
       }
-      Optional<OwnershipDelta> delta = replica.deltaSince(known);
-      OwnershipTable whole = replica.table();
-      underWay.add(
+      Optional<OwnershipDelta> delta = replica.deltaSince(knownVersion);
+      OwnershipTable complete = replica.table();
+      inFlight.add(
           () -> {
             if (delta.isPresent()) {
               replicas.get(to).deltaReceived(delta.get());
             } else {
-              replicas.get(to).tableReceived(whole);
+              replicas.get(to).tableReceived(complete);
             }
           });
     }
 
     void deliver(int index) {
-      if (!underWay.isEmpty()) {
-        underWay.remove(index % underWay.size()).run();
+      if (!inFlight.isEmpty()) {
+        inFlight.remove(index % inFlight.size()).run();
       }
     }
 
     void lose(int index) {
-      if (!underWay.isEmpty()) {
-        underWay.remove(index % underWay.size());
+      if (!inFlight.isEmpty()) {
+        inFlight.remove(index % inFlight.size());
       }
     }
 
     void repeat(int index) {
-      if (!underWay.isEmpty()) {
-        underWay.add(underWay.get(index % underWay.size()));
+      if (!inFlight.isEmpty()) {
+        inFlight.add(inFlight.get(index % inFlight.size()));
       }
     }
 
     void readFromPlatform(int daemon) {
       OwnershipTable read = newest;
-      underWay.add(() -> replicas.get(daemon).tableReceived(read));
+      inFlight.add(() -> replicas.get(daemon).tableReceived(read));
     }
 
     void assertSafe() {
@@ -163,17 +164,17 @@
       }
     }
 
-    /** No write and no loss any more, and the writer learns what came of its write. */
+    /** Runs rounds of heartbeats and requests without writes and losses. */
     void heal() {
       for (int round = 0; round < HEALING_ROUNDS; round++) {
-        now += OwnershipReplica.ASK_AGAIN_MILLIS;
+        now += OwnershipReplica.REQUEST_INTERVAL_MILLIS;
         for (int i = 0; i < DAEMONS; i++) {
           for (int other : others(i)) {
             heartbeat(i, other);
           }
-          ask(i);
+          requestUpdate(i);
         }
-        while (!underWay.isEmpty()) {
+        while (!inFlight.isEmpty()) {
           deliver(0);
         }
         assertSafe();
@@ -182,7 +183,7 @@
   }
 
   @Property(tries = 400, seed = "20261202")
-  void neverAMixAndNeverOlder(@ForAll("news") ActionChain<World> chain) {
+  void replicasHoldStoredTablesAndNeverRevert(@ForAll("updates") ActionChain<World> chain) {
     World world = chain.withInvariant("safe", World::assertSafe).run();
     world.readFromPlatform(0);
     world.heal();
@@ -192,21 +193,21 @@
   }
 
   @Provide
-  Arbitrary<ActionChain<World>> news() {
+  Arbitrary<ActionChain<World>> updates() {
     return ActionChain.startWith(World::new)
         .withAction(4, step("write", WRITERS, World::write))
         .withAction(8, step("deliver", 1_000, World::deliver))
         .withAction(2, step("lose", 1_000, World::lose))
         .withAction(1, step("repeat", 1_000, World::repeat))
         .withAction(1, step("read", DAEMONS, World::readFromPlatform))
-        .withAction(2, step("ask", DAEMONS, World::ask))
+        .withAction(2, step("ask", DAEMONS, World::requestUpdate))
         .withAction(
             2, step("beat", DAEMONS * DAEMONS, (w, i) -> w.heartbeat(i / DAEMONS, i % DAEMONS)))
         .withAction(1, step("wait", 400, (w, i) -> w.now += i))
         .withMaxTransformations(80);
   }
 
-  /** Changes the world by one number. */
+  /** Changes the world, with one parameter. */
   private interface Step {
     void apply(World world, int value);
   }
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipReplicaTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipReplicaTest.java
@@ -31,7 +31,7 @@
   private OwnershipReplica replica;
 
   @BeforeEach
-  void knowsTheFirst() {
+  void createWithFirstTable() {
     replica = OwnershipReplica.create(D3);
     replica.tableReceived(FIRST);
   }
@@ -40,7 +40,7 @@
   class Deltas {
 
     @Test
-    void leadFromOneTableToTheOther() {
+    void transformBaseIntoNewerTable() {
       OwnershipDelta delta = OwnershipDelta.between(FIRST, SECOND);
 
       assertThat(delta.changed()).containsOnly(Map.entry(E1, D2), Map.entry(E3, D3));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void sentAgainChangeNothing() {
+    void changeNothingWhenRepeated() {
       replica.deltaReceived(OwnershipDelta.between(FIRST, SECOND));
       replica.tableReceived(THIRD);
 
@@ -61,42 +61,44 @@
     }
 
     @Test
-    void mustLeadForward() {
+    void requireIncreasingVersions() {
       assertThatThrownBy(() -> OwnershipDelta.between(SECOND, FIRST))
           .isInstanceOf(IllegalArgumentException.class)
           .hasMessageContaining("14 to 10");
     }
   }
 
-  // A request goes to the former owner again and again, each time refused, when a daemon has missed
-  // a change and takes the next one for whole, or waits for one that never comes.
+  // Guards against requests that are forwarded to the former owner and refused repeatedly: a daemon
+  // misses a delta, and applies the next one to the wrong base or waits for a delta that never
+  // arrives.
   @Nested
   class Gap {
 
     @BeforeEach
-    void missesTheSecond() {
+    void missSecondTable() {
       assertThat(replica.deltaReceived(OwnershipDelta.between(SECOND, THIRD))).isFalse();
       assertThat(replica.table()).isEqualTo(FIRST);
     }
 
     @Test
-    void asksOnePeerAtATime() {
+    void requestsFromOnePeerAtATime() {
       DaemonId first = replica.ask(0, List.of(D1, D2)).orElseThrow();
 
-      assertThat(replica.ask(OwnershipReplica.ASK_AGAIN_MILLIS - 1, List.of(D1, D2))).isEmpty();
-      assertThat(replica.ask(OwnershipReplica.ASK_AGAIN_MILLIS, List.of(D1, D2)))
+      assertThat(replica.ask(OwnershipReplica.REQUEST_INTERVAL_MILLIS - 1, List.of(D1, D2)))
+          .isEmpty();
+      assertThat(replica.ask(OwnershipReplica.REQUEST_INTERVAL_MILLIS, List.of(D1, D2)))
           .hasValueSatisfying(second -> assertThat(second).isNotEqualTo(first));
     }
 
     @Test
-    void asksFirstWhoIsKnownToHaveIt() {
+    void prefersPeerThatHoldsNewerVersion() {
       replica.versionSeen(D2, THIRD.version());
 
       assertThat(replica.ask(0, List.of(D1, D2))).hasValue(D2);
     }
 
     @Test
-    void endsWithTheMissingDelta() {
+    void endsWithMissingDelta() {
       replica.deltaReceived(OwnershipDelta.between(FIRST, THIRD));
 
       assertThat(replica.table()).isEqualTo(THIRD);
@@ -108,27 +110,27 @@
   class Answers {
 
     @Test
-    void joinTheLastDeltas() {
+    void combineLastDeltas() {
       replica.tableReceived(SECOND);
       replica.tableReceived(THIRD);
 
-      OwnershipDelta joined = replica.deltaSince(FIRST.version()).orElseThrow();
+      OwnershipDelta combined = replica.deltaSince(FIRST.version()).orElseThrow();
 
-      assertThat(joined.applyTo(FIRST)).hasValue(THIRD);
+      assertThat(combined.applyTo(FIRST)).hasValue(THIRD);
       assertThat(replica.deltaSince(SECOND.version()).orElseThrow().applyTo(SECOND))
           .hasValue(THIRD);
     }
 
     @Test
-    void areWholeForAnUnknownVersion() {
+    void haveNoDeltaForUnknownVersion() {
       assertThat(replica.deltaSince(9)).isEmpty();
       assertThat(replica.isNewerThan(9)).isTrue();
       assertThat(replica.isNewerThan(FIRST.version())).isFalse();
     }
 
     @Test
-    void keepFewDeltas() {
-      for (int i = 1; i <= OwnershipReplica.HISTORY + 1; i++) {
+    void keepLimitedHistory() {
+      for (int i = 1; i <= OwnershipReplica.HISTORY_SIZE + 1; i++) {
         replica.tableReceived(OwnershipTable.of(10 + i, 1 + i, Map.of(E1, D1), Map.of(D1, 1L)));
       }
 
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipTakeoverTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipTakeoverTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Requests for the endpoints of a killed daemon wait until another owns them. Its lease must run
- * out first; after that only the check of the lease and one write may be added, whatever the moment
- * of the kill and whoever the killed daemon is.
+ * Guards against long waits of requests for the endpoints of a killed daemon. Its lease must expire
+ * first; after that, only the read of the lease and one write may add to the wait, whichever daemon
+ * is killed and whenever.
  */
 class OwnershipTakeoverTest {
 
@@ -19,7 +19,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void endpointsOfAKilledDaemonHaveOwnersWithinALeaseAndASecond(int seed) {
+  void endpointsOfKilledDaemonHaveOwnersWithinLeaseAndOneSecond(int seed) {
     SimulatedDataCentre world = new SimulatedDataCentre(seed, 4);
     world.run(20_000 + 370L * seed);
     SimulatedDaemon killed = world.daemon(seed % 4);
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/SimulatedDaemon.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/SimulatedDaemon.java
@@ -9,14 +9,14 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 
-/** One daemon process of a simulated data centre: the decision objects and a driver for them. */
+/** Daemon process of a simulated data centre: the decision objects and their driver. */
 final class SimulatedDaemon {
 
-  private static final long TABLE_EVERY_MILLIS = 2_000;
+  private static final long TABLE_READ_INTERVAL_MILLIS = 2_000;
 
   final DaemonId id;
   final int process;
-  final LeaseKeeper keeper;
+  final LeaseKeeper leaseManager;
   final OwnershipPlanner planner;
   private final SimulatedDataCentre world;
   private final Membership membership;
@@ -32,20 +32,20 @@
   boolean draining;
 
   SimulatedDaemon(
-      SimulatedDataCentre world, DaemonId id, int process, int place, SplittableRandom random) {
+      SimulatedDataCentre world, DaemonId id, int process, int index, SplittableRandom random) {
     this.world = world;
     this.id = id;
     this.process = process;
-    this.clockOffset = 1_000_000L * (place + 1);
-    this.clockPermille = 990 + 10L * (place % 3);
+    this.clockOffset = 1_000_000L * (index + 1);
+    this.clockPermille = 990 + 10L * (index % 3);
     long now = now();
     this.contact = PlatformContact.create(LeaseSettings.DEFAULT, now);
     this.membership = Membership.create(MembershipSettings.DEFAULT, now);
     this.observer = LeaseObserver.create(LeaseSettings.DEFAULT, contact);
-    this.keeper =
+    this.leaseManager =
         LeaseKeeper.create(
             LeaseSettings.DEFAULT, id, "127.0.0.1:1", process, random.split(), contact, now);
-    keeper.dataCentreIs(world.names());
+    leaseManager.dataCentreIs(world.names());
     this.planner =
         OwnershipPlanner.create(
             OwnershipSettings.DEFAULT,
@@ -62,17 +62,17 @@
 
   void step() {
     long now = now();
-    keeper.tick(now).ifPresent(this::call);
+    leaseManager.tick(now).ifPresent(this::call);
     membership.tick(now).stream()
         .filter(change -> change.to() == MemberState.SUSPECT)
         .forEach(change -> observer.fellSilent(change.daemon()));
-    heartbeats(now);
+    sendHeartbeats(now);
     readTable(now);
-    keeper.tableSeen(planner.table().version());
-    planner.candidatesAre(now, keeper.incarnation(), candidates(now));
+    leaseManager.tableSeen(planner.table().version());
+    planner.candidatesAre(now, leaseManager.incarnation(), candidates(now));
     planner.leasesToCheck(now).forEach(this::readLease);
     proposal(now).ifPresent(this::write);
-    orders(now);
+    sendOrders(now);
   }
 
   private Map<DaemonId, Candidate> candidates(long now) {
@@ -80,21 +80,21 @@
     membership.candidates().stream()
         .filter(peer -> observer.isLive(now, peer))
         .forEach(peer -> found.put(peer, new Candidate(1.0, membership.incarnation(peer))));
-    if (keeper.isCandidate(now)) {
-      found.put(id, new Candidate(1.0, keeper.incarnation()));
+    if (leaseManager.isCandidate(now)) {
+      found.put(id, new Candidate(1.0, leaseManager.incarnation()));
     }
     return found;
   }
 
   private Optional<OwnershipProposal> proposal(long now) {
     Optional<OwnershipProposal> found = planner.retry(now);
-    if (found.isEmpty() && (keeper.needsTable(now) || planner.needsConfirmation())) {
+    if (found.isEmpty() && (leaseManager.needsTable(now) || planner.needsConfirmation())) {
       found = planner.confirm(now);
     }
     if (found.isEmpty()) {
       found = planner.takeOver(now);
     }
-    if (found.isEmpty() && keeper.mayHandOver(now)) {
+    if (found.isEmpty() && leaseManager.mayHandOver(now)) {
       found = draining ? planner.handOver(now, world.endpoints()) : planner.rebalance(now);
     }
     return found;
@@ -102,46 +102,46 @@
 
   void drain() {
     draining = true;
-    keeper.drain(now());
+    leaseManager.drain(now());
   }
 
-  private void orders(long now) {
+  private void sendOrders(long now) {
     for (EndpointId endpoint : world.endpoints()) {
       if (planner.isOwned(endpoint)
-          && keeper.mayOrder(now, world.policy(endpoint), OrderKind.UNLOAD)) {
-        world.ordered(this, endpoint, planner.table().fence().value());
+          && leaseManager.mayOrder(now, world.policy(endpoint), OrderKind.UNLOAD)) {
+        world.recordOrder(this, endpoint, planner.table().fence().value());
       }
     }
   }
 
-  private void heartbeats(long now) {
+  private void sendHeartbeats(long now) {
     if (now < nextHeartbeat) {
       return;
     }
-    nextHeartbeat = now + MembershipSettings.DEFAULT.heartbeatEveryMillis();
+    nextHeartbeat = now + MembershipSettings.DEFAULT.heartbeatIntervalMillis();
     boolean out = contact.isOut(now) && !planner.isWritePending();
-    MemberState said = draining ? MemberState.DRAINING : MemberState.ALIVE;
+    MemberState state = draining ? MemberState.DRAINING : MemberState.ALIVE;
     OwnershipTable table = planner.table();
-    long lease = keeper.version();
-    long incarnation = keeper.incarnation();
+    long lease = leaseManager.version();
+    long incarnation = leaseManager.incarnation();
     for (DaemonId peer : world.names()) {
       PlatformReport report =
           new PlatformReport(
               out, table.version(), lease, echoes.getOrDefault(peer, Long.MIN_VALUE / 2));
-      world.send(this, peer, to -> to.heard(id, incarnation, said, report, table, now));
+      world.send(this, peer, to -> to.receiveHeartbeat(id, incarnation, state, report, table, now));
     }
   }
 
-  private void heard(
+  private void receiveHeartbeat(
       DaemonId peer,
       long incarnation,
-      MemberState said,
+      MemberState state,
       PlatformReport report,
       OwnershipTable table,
       long sentAt) {
     long now = now();
-    membership.heartbeatReceived(now, peer, incarnation, said);
-    keeper.peerReported(peer, report);
+    membership.heartbeatReceived(now, peer, incarnation, state);
+    leaseManager.peerReported(peer, report);
     observer.heartbeatCarried(now, peer, report.leaseVersion());
     planner.tableSeen(now, table);
     echoes.merge(peer, sentAt, Math::max);
@@ -151,7 +151,7 @@
     if (now < nextTableRead) {
       return;
     }
-    nextTableRead = now + TABLE_EVERY_MILLIS;
+    nextTableRead = now + TABLE_READ_INTERVAL_MILLIS;
     world.call(
         this,
         Optional.empty(),
@@ -186,10 +186,10 @@
           platform ->
               platform.write(name, renew.operation(), renew.expectedVersion(), renew.lease()),
           answer -> {
-            keeper.renewalAnswered(now(), renew.operation(), answer);
+            leaseManager.renewalAnswered(now(), renew.operation(), answer);
             nextHeartbeat = now();
           },
-          () -> keeper.renewalAnswered(now(), renew.operation(), new WriteAnswer.Lost()));
+          () -> leaseManager.renewalAnswered(now(), renew.operation(), new WriteAnswer.Lost()));
       return;
     }
     world.call(
@@ -199,8 +199,8 @@
             platform
                 .read(name)
                 .map(found -> new StoredLease(found.version(), (LeaseRecord) found.value())),
-        stored -> keeper.readAnswered(now(), stored),
-        () -> keeper.readFailed(now()));
+        stored -> leaseManager.readAnswered(now(), stored),
+        () -> leaseManager.readFailed(now()));
   }
 
   private void write(OwnershipProposal proposal) {
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/SimulatedDataCentre.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/SimulatedDataCentre.java
@@ -18,8 +18,9 @@
 import java.util.function.Function;
 
 /**
- * A data centre in one thread: daemons with clocks of their own, a platform, endpoints, and a judge
- * who sees them all. Calls and heartbeats are late, lost or stuck as the faults say.
+ * Single-threaded simulation of a data centre: daemons with separate clocks, a platform, endpoints,
+ * and a check of all orders. Calls and heartbeats are delayed, lost or stuck according to the
+ * injected faults.
  */
 final class SimulatedDataCentre {
 
@@ -84,19 +85,19 @@
     return List.copyOf(daemons.values()).get(index % daemons.size());
   }
 
-  /** Starts a process under a name; the former one, if frozen, stays and may wake. */
+  /** Starts a process with a daemon name; the former one, if frozen, resumes later. */
   void start(DaemonId id) {
     processes++;
-    int place = List.copyOf(names).indexOf(id);
+    int index = List.copyOf(names).indexOf(id);
     SimulatedDaemon former = daemons.get(id);
     if (former != null && former.frozen) {
-      schedule(random.nextLong(20_000), () -> wakeFormer(former));
+      schedule(random.nextLong(20_000), () -> resumeFormer(former));
     }
-    daemons.put(id, new SimulatedDaemon(this, id, processes, place, random.split()));
+    daemons.put(id, new SimulatedDaemon(this, id, processes, index, random.split()));
   }
 
-  // A replaced process that wakes: it steps once, in the middle of what it did.
-  private void wakeFormer(SimulatedDaemon former) {
+  // Resumes a replaced process for 30 steps.
+  private void resumeFormer(SimulatedDaemon former) {
     former.frozen = false;
     for (int i = 0; i < 30; i++) {
       schedule(i * STEP_MILLIS, former::step);
@@ -146,7 +147,7 @@
     deliver(delay, daemons.get(to), message);
   }
 
-  // What reaches a frozen process waits in its socket until it wakes.
+  // Messages to a frozen process wait in its socket until it resumes.
   private void deliver(long delay, SimulatedDaemon to, Consumer<SimulatedDaemon> message) {
     schedule(
         delay,
@@ -165,20 +166,21 @@
       Function<SimulatedPlatform, T> work,
       Consumer<T> answered,
       Runnable lost) {
-    SimulatedDaemon via = relay.map(daemons::get).orElse(from);
-    boolean reaches = !via.frozen && !cutPairs.contains(Set.of(from.id, id(via, from)));
-    if (platform.out || via.cutFromPlatform || !reaches || chance(lossPercent)) {
+    SimulatedDaemon relayOrSelf = relay.map(daemons::get).orElse(from);
+    boolean reachable =
+        !relayOrSelf.frozen && !cutPairs.contains(Set.of(from.id, id(relayOrSelf, from)));
+    if (platform.out || relayOrSelf.cutFromPlatform || !reachable || chance(lossPercent)) {
       deliver(random.nextLong(900), from, daemon -> lost.run());
       return;
     }
     boolean stuck = chance(stuckPercent);
-    long there = stuck ? random.nextLong(30_000) : random.nextLong(20);
+    long requestDelay = stuck ? random.nextLong(30_000) : random.nextLong(20);
     boolean answerLost = stuck || chance(lossPercent);
     if (answerLost) {
       deliver(900, from, daemon -> lost.run());
     }
     schedule(
-        there,
+        requestDelay,
         () -> {
           T answer = work.apply(platform);
           if (!answerLost) {
@@ -187,8 +189,8 @@
         });
   }
 
-  private static DaemonId id(SimulatedDaemon via, SimulatedDaemon from) {
-    return via.id.equals(from.id) ? new DaemonId("itself") : via.id;
+  private static DaemonId id(SimulatedDaemon relayOrSelf, SimulatedDaemon from) {
+    return relayOrSelf.id.equals(from.id) ? new DaemonId("itself") : relayOrSelf.id;
   }
 
   private boolean chance(int percent) {
@@ -200,23 +202,23 @@
     events.add(new Event(time + delay, sequence, run));
   }
 
-  /** A daemon gives a destructive order, with nothing between its check and the write. */
-  void ordered(SimulatedDaemon by, EndpointId endpoint, long fence) {
+  /** Records a destructive order, sent without a pause between its check and the write. */
+  void recordOrder(SimulatedDaemon sender, EndpointId endpoint, long fence) {
     if (policy(endpoint) == FencePolicy.CHECKS) {
-      orderedWithFence(by, endpoint, fence);
+      recordOrderWithFencing(sender, endpoint, fence);
     } else {
-      orderedWithoutFence(by, endpoint);
+      recordOrderWithoutFencing(sender, endpoint);
     }
   }
 
-  private void orderedWithFence(SimulatedDaemon by, EndpointId endpoint, long fence) {
+  private void recordOrderWithFencing(SimulatedDaemon sender, EndpointId endpoint, long fence) {
     if (fence < highestFence.getOrDefault(endpoint, 0L)) {
       return;
     }
     highestFence.put(endpoint, fence);
     lastOrderAt.put(endpoint, time);
-    int first = processOfFence.computeIfAbsent(endpoint + "/" + fence, key -> by.process);
-    if (first != by.process) {
+    int first = processOfFence.computeIfAbsent(endpoint + "/" + fence, key -> sender.process);
+    if (first != sender.process) {
       violations.add(
           time
               + ": "
@@ -224,21 +226,21 @@
               + " ran orders of processes "
               + first
               + " and "
-              + by.process
+              + sender.process
               + " under fence "
               + fence);
     }
   }
 
-  private void orderedWithoutFence(SimulatedDaemon by, EndpointId endpoint) {
+  private void recordOrderWithoutFencing(SimulatedDaemon sender, EndpointId endpoint) {
     lastOrderAt.put(endpoint, time);
     Optional<DaemonId> owner = platform.table().owner(endpoint);
-    if (owner.filter(by.id::equals).isEmpty()) {
-      violations.add(time + ": " + endpoint + " of " + owner + " ordered by " + by.id);
+    if (owner.filter(sender.id::equals).isEmpty()) {
+      violations.add(time + ": " + endpoint + " of " + owner + " ordered by " + sender.id);
     }
-    SimulatedDaemon last = lastOrderer.put(endpoint, by);
-    if (last != null && last.id.equals(by.id) && last.process > by.process) {
-      violations.add(time + ": " + endpoint + " ordered by a replaced process of " + by.id);
+    SimulatedDaemon last = lastOrderer.put(endpoint, sender);
+    if (last != null && last.id.equals(sender.id) && last.process > sender.process) {
+      violations.add(time + ": " + endpoint + " ordered by a replaced process of " + sender.id);
     }
   }
 
@@ -246,7 +248,7 @@
     assertThat(violations).isEmpty();
   }
 
-  /** Every endpoint is ordered about by its owner, and every owner is in full possession. */
+  /** Asserts that every endpoint has an owner and received an order within the last 3 s. */
   void assertServed() {
     OwnershipTable table = platform.table();
     for (EndpointId endpoint : endpoints) {
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/SimulatedPlatform.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/SimulatedPlatform.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The platform of a simulated data centre: one counter, conditional writes, nothing else. */
+/** Platform of a simulated data centre: one revision counter and conditional writes. */
 final class SimulatedPlatform {
 
   record Stored(long version, OperationId operation, Object value) {}
@@ -32,7 +32,7 @@
 
   OwnershipTable table() {
     return read(SimulatedDataCentre.TABLE)
-        .map(stored -> ((OwnershipTable) stored.value()).storedAs(stored.version()))
+        .map(stored -> ((OwnershipTable) stored.value()).withVersion(stored.version()))
         .orElse(OwnershipTable.EMPTY);
   }
 }
