--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipReplica.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipReplica.java
@@ -17,7 +17,7 @@
  * This daemon's copy of one data centre's ownership table, updated by deltas from other daemons.
  *
  * <pre>{@code
- * replica.deltaReceived(peer, delta);
+ * replica.deltaReceived(delta);
  * replica.versionSeen(peer, heartbeatVersion);
  * replica.ask(now, connected).ifPresent(peer -> send(peer, replica.table().version()));
  * replica.deltaSince(version).ifPresent(found -> send(peer, found));
