--- a/gateway/src/main/java/io/sequoiapass/gateway/process/AdapterCacheDepthEstimator.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/AdapterCacheDepthEstimator.java
@@ -11,55 +11,55 @@
 final class AdapterCacheDepthEstimator {
 
   /** Initial estimate of cached adapters per slot. */
-  private static final int FIRST_PER_PLACE = 4;
+  private static final int FIRST_PER_SLOT = 4;
 
   /** Smallest estimate: an adapter that has just been evicted is still cached. */
-  private static final double LEAST = 2;
+  private static final double MIN_DEPTH = 2;
 
   /** How far beyond the confirmed depth is tried, as a share of it: smallest and largest value. */
-  private static final double LEAST_TRIAL = 0.02;
+  private static final double MIN_TRIAL = 0.02;
 
-  private static final double LARGEST_TRIAL = 0.25;
+  private static final double MAX_TRIAL = 0.25;
 
   /** Factors of the trial share after a successful and a failed trial. */
   private static final double TRIAL_GROWTH = 1.5;
 
-  private static final double TRIAL_FALL = 0.5;
+  private static final double TRIAL_DECAY = 0.5;
 
   /** Weight of one adapter that was not cached within the confirmed depth. */
-  private static final double FALL = 0.25;
+  private static final double MISS_WEIGHT = 0.25;
 
-  private double sure;
-  private double trial = LARGEST_TRIAL;
+  private double confirmed;
+  private double trial = MAX_TRIAL;
 
   /**
    * Creates an estimator with an initial guess from the configuration.
    *
-   * @param places the adapter slots of an engine
+   * @param slots the adapter slots of an engine
    */
-  AdapterCacheDepthEstimator(int places) {
-    sure = Math.max(LEAST, (double) places * FIRST_PER_PLACE);
+  AdapterCacheDepthEstimator(int slots) {
+    confirmed = Math.max(MIN_DEPTH, (double) slots * FIRST_PER_SLOT);
   }
 
   /** Returns the largest depth at which an adapter is assumed to be cached. */
   int reach() {
-    return (int) Math.ceil(sure * (1 + trial));
+    return (int) Math.ceil(confirmed * (1 + trial));
   }
 
   /** Records that an adapter at a depth was cached. */
-  void kept(int depth) {
-    if (depth > sure) {
-      sure = depth;
-      trial = Math.min(LARGEST_TRIAL, trial * TRIAL_GROWTH);
+  void cached(int depth) {
+    if (depth > confirmed) {
+      confirmed = depth;
+      trial = Math.min(MAX_TRIAL, trial * TRIAL_GROWTH);
     }
   }
 
   /** Records that an adapter at a depth was not cached. */
   void notCached(int depth) {
-    if (depth < sure) {
-      sure = Math.max(LEAST, sure - FALL * (sure - depth));
+    if (depth < confirmed) {
+      confirmed = Math.max(MIN_DEPTH, confirmed - MISS_WEIGHT * (confirmed - depth));
     } else {
-      trial = Math.max(LEAST_TRIAL, trial * TRIAL_FALL);
+      trial = Math.max(MIN_TRIAL, trial * TRIAL_DECAY);
     }
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/AdapterCacheModel.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/AdapterCacheModel.java
@@ -15,18 +15,18 @@
 final class AdapterCacheModel {
 
   /** Largest number of adapters, to bound the memory for a large fleet. */
-  private static final int MOST = 256;
+  private static final int MAX_ADAPTERS = 256;
 
   private final IntSupplier reach;
-  private final Newest newest = new Newest();
+  private final LruMap adapters = new LruMap();
 
-  private final class Newest extends LinkedHashMap<AdapterName, Boolean> {
+  private final class LruMap extends LinkedHashMap<AdapterName, Boolean> {
 
     private static final long serialVersionUID = 1L;
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<AdapterName, Boolean> eldest) {
-      return size() > Math.min(MOST, reach.getAsInt());
+      return size() > Math.min(MAX_ADAPTERS, reach.getAsInt());
     }
   }
 
@@ -40,33 +40,33 @@
   }
 
   void held(AdapterName adapter) {
-    newest.remove(adapter);
-    newest.put(adapter, true);
+    adapters.remove(adapter);
+    adapters.put(adapter, true);
   }
 
   /** Removes an adapter that is not cached. */
-  void lost(AdapterName adapter) {
-    newest.remove(adapter);
+  void remove(AdapterName adapter) {
+    adapters.remove(adapter);
   }
 
   /** Returns the adapters that are assumed to be cached, the most recently held one last. */
   List<AdapterName> all() {
-    return List.copyOf(newest.keySet());
+    return List.copyOf(adapters.keySet());
   }
 
   boolean isCached(AdapterName adapter) {
-    return newest.containsKey(adapter);
+    return adapters.containsKey(adapter);
   }
 
   /** Returns how many adapters the engine has held since it last held a cached one. */
   int depth(AdapterName adapter) {
     int before = 0;
-    for (AdapterName name : newest.keySet()) {
+    for (AdapterName name : adapters.keySet()) {
       before++;
       if (name.equals(adapter)) {
         break;
       }
     }
-    return newest.size() - before;
+    return adapters.size() - before;
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/AdapterDemand.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/AdapterDemand.java
@@ -19,7 +19,7 @@
   private static final double HALF_LIFE_MS = 8_000;
 
   /** Scores below this are removed. */
-  private static final double LEAST = 0.02;
+  private static final double MIN_SCORE = 0.02;
 
   private final Map<AdapterName, Score> scores = new HashMap<>();
 
@@ -39,7 +39,7 @@
     return score == null ? 0 : score.at(now);
   }
 
-  void forgetIdle(long now) {
-    scores.values().removeIf(score -> score.at(now) < LEAST);
+  void removeIdle(long now) {
+    scores.values().removeIf(score -> score.at(now) < MIN_SCORE);
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/BroadcastInterval.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/BroadcastInterval.java
@@ -14,19 +14,19 @@
   static final long ROUND_MS = 150;
 
   /** Number of daemons that adds one round to the interval. */
-  private static final int DAEMONS_A_ROUND = 32;
+  private static final int DAEMONS_PER_ROUND = 32;
 
   /** Longest interval, in rounds; a link without messages for a second is closed. */
-  private static final int MOST_ROUNDS = 3;
+  private static final int MAX_ROUNDS = 3;
 
   /** Largest number of daemons that get every placement update immediately. */
-  private static final int FEW_DAEMONS = 10;
+  private static final int MAX_BROADCAST_DAEMONS = 10;
 
   private BroadcastInterval() {}
 
   /** Returns the number of rounds between two messages. */
   static int rounds(int daemons) {
-    return Math.min(MOST_ROUNDS, 1 + daemons / DAEMONS_A_ROUND);
+    return Math.min(MAX_ROUNDS, 1 + daemons / DAEMONS_PER_ROUND);
   }
 
   /** Returns the time between two messages, in milliseconds. */
@@ -36,6 +36,6 @@
 
   /** Returns whether placement updates go to all daemons immediately, not just to subscribers. */
   static boolean broadcastsImmediately(int daemons) {
-    return daemons <= FEW_DAEMONS;
+    return daemons <= MAX_BROADCAST_DAEMONS;
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/CallerHandler.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/CallerHandler.java
@@ -36,8 +36,8 @@
   private final HostSettings.Bounds bounds;
   private final IntSupplier daemons;
   private final Map<ServiceId, SharedRetryBudget> budgets = new ConcurrentHashMap<>();
-  private final AtomicInteger underWay = new AtomicInteger();
-  private volatile DrainSchedule stop = DrainSchedule.NEVER;
+  private final AtomicInteger inFlight = new AtomicInteger();
+  private volatile DrainSchedule drain = DrainSchedule.NEVER;
 
   CallerHandler(
       RelayContext context,
@@ -53,13 +53,13 @@
   }
 
   /** Returns the number of requests in flight. */
-  int underWay() {
-    return underWay.get();
+  int inFlight() {
+    return inFlight.get();
   }
 
   /** Starts a planned stop; see {@link DrainSchedule} for the requests that are still accepted. */
-  void stopAt(long takesAllUntil, long endsAt) {
-    stop = new DrainSchedule(takesAllUntil, endsAt);
+  void startDrain(long acceptsAllUntil, long endsAt) {
+    drain = new DrainSchedule(acceptsAllUntil, endsAt);
   }
 
   @Override
@@ -80,7 +80,7 @@
       refuse(ErrorKind.UNKNOWN_SERVICE, facts, responder);
       return;
     }
-    if (!stop.takes(route.get().timeoutMs(), context.clock().millis())) {
+    if (!drain.accepts(route.get().timeoutMs(), context.clock().millis())) {
       refuse(ErrorKind.DRAINING, facts, responder);
       return;
     }
@@ -98,11 +98,11 @@
    */
   private static boolean isAmbiguous(HttpRequestMessage request) {
     List<String> encodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-    boolean strange =
+    boolean ambiguousEncoding =
         encodings.size() > 1
             || (encodings.size() == 1
                 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0).trim()));
-    return strange || request.headers().getAll(HttpHeaderNames.HOST).size() > 1;
+    return ambiguousEncoding || request.headers().getAll(HttpHeaderNames.HOST).size() > 1;
   }
 
   private static String pathOf(String target) {
@@ -138,7 +138,7 @@
     SharedRetryBudget budget =
         budgets.computeIfAbsent(service, name -> new SharedRetryBudget(bounds, daemons));
     budget.requestArrived(context.clock().millis());
-    underWay.incrementAndGet();
+    inFlight.incrementAndGet();
     new RelayedRequest(
             context,
             route,
@@ -146,7 +146,7 @@
             budget,
             facts,
             new RelayedRequest.Exchange(request, responder),
-            underWay::decrementAndGet)
+            inFlight::decrementAndGet)
         .start();
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinationNode.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinationNode.java
@@ -85,7 +85,7 @@
 
   /** Returns whether an order may be given now. */
   synchronized boolean mayOrder(long now, boolean fenced) {
-    if (freezes.noticed()) {
+    if (freezes.checkDrift()) {
       log.belief("freeze_noticed").with("holding", election.isHolding()).write();
     }
     boolean current = fenced || !freezes.isSuspect();
@@ -95,7 +95,7 @@
   /** Handles a coordinator's status. */
   synchronized void updateStatus(DataCentreId dataCentre, LinkMessage.CoordinatorStatus status) {
     if (dataCentre.equals(here)) {
-      election.leaseSeen(status.revision(), clock.millis());
+      election.observeRevision(status.revision(), clock.millis());
     }
   }
 
@@ -108,9 +108,9 @@
   }
 
   /** Releases the lease for a planned stop. */
-  void giveUp() {
+  void releaseLease() {
     synchronized (this) {
-      election.giveUp();
+      election.release();
     }
     coordinator.stop();
     tick();
@@ -124,7 +124,7 @@
     CoordinatorElection.Step step;
     synchronized (this) {
       step = election.next(now, linked);
-      if (step == CoordinatorElection.Step.REST && isReadDue(now)) {
+      if (step == CoordinatorElection.Step.NONE && isReadDue(now)) {
         step = CoordinatorElection.Step.READ;
       }
     }
@@ -138,7 +138,7 @@
   private boolean isReadDue(long now) {
     return !reading
         && now - lastRead >= READ_MS
-        && links.values().stream().anyMatch(link -> !link.isTrying());
+        && links.values().stream().anyMatch(link -> !link.isOpenOrConnecting());
   }
 
   private void read(long now) {
@@ -148,11 +148,11 @@
     }
     store
         .list(StoreKind.LEASES)
-        .whenComplete((list, failure) -> loop.execute(() -> taken(list, failure)));
+        .whenComplete((list, failure) -> loop.execute(() -> leasesRead(list, failure)));
   }
 
-  private void taken(StoreList<CoordinatorLease> list, Throwable failure) {
-    boolean began;
+  private void leasesRead(StoreList<CoordinatorLease> list, Throwable failure) {
+    boolean acquired;
     synchronized (this) {
       reading = false;
       if (failure != null) {
@@ -163,10 +163,10 @@
       Optional<Stored<CoordinatorLease>> mine =
           list.items().stream().filter(item -> item.name().equals(here.value())).findFirst();
       election.read(mine, clock.millis());
-      began = !before && election.isHolding();
+      acquired = !before && election.isHolding();
     }
-    if (began) {
-      begin();
+    if (acquired) {
+      startCoordinating();
     }
     list.items().forEach(this::connect);
   }
@@ -182,10 +182,10 @@
     CoordinatorLease proposal = election.proposal();
     store
         .write(StoreKind.LEASES, here.value(), proposal, election.expected())
-        .whenComplete((result, failure) -> loop.execute(() -> written(proposal, result)));
+        .whenComplete((result, failure) -> loop.execute(() -> leaseWritten(proposal, result)));
   }
 
-  private void written(CoordinatorLease proposal, WriteResult<CoordinatorLease> result) {
+  private void leaseWritten(CoordinatorLease proposal, WriteResult<CoordinatorLease> result) {
     boolean changed;
     boolean holding;
     long revision;
@@ -195,7 +195,7 @@
       holding = election.isHolding();
       revision = election.revision();
       if (known instanceof WriteResult.Written) {
-        freezes.trust();
+        freezes.leaseRenewed();
       }
     }
     if (changed) {
@@ -207,7 +207,7 @@
           .write();
     }
     if (changed && holding) {
-      begin();
+      startCoordinating();
     } else if (changed) {
       coordinator.deactivate("lease lost");
     }
@@ -216,7 +216,7 @@
     }
   }
 
-  private void begin() {
+  private void startCoordinating() {
     long epoch;
     long revision;
     CoordinatorLease lease;
@@ -233,7 +233,7 @@
   }
 
   /** Returns the data centres whose coordinator is connected, this daemon's own first. */
-  List<DataCentreId> coordinated() {
+  List<DataCentreId> coordinatedDataCentres() {
     return links.values().stream()
         .filter(CoordinatorLink::isUp)
         .map(CoordinatorLink::dataCentre)
@@ -263,7 +263,8 @@
   }
 
   /** Reports that an endpoint refused a request for an adapter that it was assumed to hold. */
-  void missed(DataCentreId dataCentre, EndpointId endpoint, AdapterName adapter, boolean early) {
+  void reportMiss(
+      DataCentreId dataCentre, EndpointId endpoint, AdapterName adapter, boolean early) {
     CoordinatorLink link = links.get(dataCentre);
     if (link != null) {
       link.send(new LinkMessage.AdapterMiss(endpoint, adapter, early));
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/Coordinator.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/Coordinator.java
@@ -55,8 +55,8 @@
   private final LoadRouter router;
   private final LongPredicate mayOrder;
   private final Runnable onFenced;
-  private StoreKnowledge store = topic -> LinkMessage.StoreView.NONE;
-  private final Map<FrameChannel, Linked> links = new HashMap<>();
+  private StoreViews store = topic -> LinkMessage.StoreView.NONE;
+  private final Map<FrameChannel, LinkedDaemon> links = new HashMap<>();
   private boolean active;
   private long epoch;
   private long revision;
@@ -71,14 +71,14 @@
   private int rounds;
 
   /** A daemon that is linked. */
-  private static final class Linked {
+  private static final class LinkedDaemon {
     private DaemonId daemon;
     private long lastReceivedAt;
     private boolean coordinates;
   }
 
   /** This daemon's own view of the store, for daemons that rely on it. */
-  interface StoreKnowledge {
+  interface StoreViews {
 
     /** Returns the view of a topic. */
     LinkMessage.StoreView of(StoreFreshness.Topic topic);
@@ -149,8 +149,8 @@
       AdapterVersions versions) {}
 
   /** Sets this daemon's view of the store. */
-  synchronized void use(StoreKnowledge knowledge) {
-    store = knowledge;
+  synchronized void use(StoreViews views) {
+    store = views;
   }
 
   /** Returns a listener that forwards changes of the endpoint list to the linked daemons. */
@@ -158,24 +158,24 @@
     return new EndpointDirectory.Watcher() {
       @Override
       public void listed(LinkMessage.ListedEndpoint entry) {
-        noteListed(entry);
+        recordListed(entry);
       }
 
       @Override
       public void unlisted(LinkMessage.GoneEndpoint endpoint) {
-        noteGone(endpoint);
+        recordGone(endpoint);
       }
     };
   }
 
-  private synchronized void noteListed(LinkMessage.ListedEndpoint entry) {
+  private synchronized void recordListed(LinkMessage.ListedEndpoint entry) {
     if (active) {
       listed.add(entry);
       listedUpTo = Math.max(listedUpTo, entry.revision());
     }
   }
 
-  private synchronized void noteGone(LinkMessage.GoneEndpoint endpoint) {
+  private synchronized void recordGone(LinkMessage.GoneEndpoint endpoint) {
     if (active) {
       gone.add(endpoint);
       listedUpTo = Math.max(listedUpTo, endpoint.revision());
@@ -191,7 +191,7 @@
     releases.clear();
     stopping = false;
     epoch = newEpoch;
-    plan.forgetSync();
+    plan.requireReports();
     observe();
     log.belief("coordinator_started").with("data_centre", here).with("epoch", epoch).write();
   }
@@ -234,9 +234,10 @@
                   if (entry.dataCentre().equals(here)) {
                     present.add(entry.endpoint());
                     if (plan.observe(entry, engine, now)) {
-                      plan.recall(entry.endpoint(), group.recentAdapters(entry.endpoint()));
+                      plan.restoreCache(entry.endpoint(), group.recentAdapters(entry.endpoint()));
                     }
-                    plan.learned(entry.endpoint(), group.tokensPerMs(entry.endpoint(), now));
+                    plan.setReadingSpeed(
+                        entry.endpoint(), group.tokensPerMs(entry.endpoint(), now));
                   }
                 }
               });
@@ -247,7 +248,7 @@
 
   /** Handles a new version of an adapter. */
   synchronized void released(AdapterName adapter, long version) {
-    plan.outdated(adapter);
+    plan.removeFromCaches(adapter);
     if (active) {
       releases.add(new LinkMessage.Release(adapter, version));
       plan.released(adapter, version, clock.millis());
@@ -262,7 +263,7 @@
     }
     long now = clock.millis();
     closeIdle(now);
-    plan.reportInterval(BroadcastInterval.intervalMs(links.size()));
+    plan.setReportInterval(BroadcastInterval.intervalMs(links.size()));
     plan.replaceOutdated(now);
     plan.advance(now);
     work(now);
@@ -307,7 +308,7 @@
   }
 
   private void closeIdle(long now) {
-    for (Map.Entry<FrameChannel, Linked> link : new ArrayList<>(links.entrySet())) {
+    for (Map.Entry<FrameChannel, LinkedDaemon> link : new ArrayList<>(links.entrySet())) {
       if (now - link.getValue().lastReceivedAt > IDLE_TIMEOUT_MS) {
         link.getKey().close();
       }
@@ -331,7 +332,7 @@
         !loadQueue.isEmpty());
   }
 
-  private void sendLoads(FrameChannel channel, Linked linked) {
+  private void sendLoads(FrameChannel channel, LinkedDaemon linked) {
     if (linked.daemon == null) {
       return;
     }
@@ -349,7 +350,7 @@
     if (mayOrder.test(now)) {
       loadQueue.dispatch(now).forEach(this::rejectExpired);
       plan.dueForReport(now).forEach(this::requestReport);
-      plan.ids().forEach(id -> order(id, now));
+      plan.endpoints().forEach(id -> order(id, now));
     }
     publish(plan.drainChanges(), now);
   }
@@ -361,7 +362,9 @@
   }
 
   /**
-   * Notifies subscribers and other coordinators immediately; other daemons get the next batch. Sending every change to all would take 140 frames a second to each of 79 daemons, most of their work.
+   * Notifies subscribers and other coordinators immediately; other daemons get the next batch.
+   * Sending every change to all would take 140 frames a second to each of 79 daemons, most of their
+   * work.
    */
   private void publish(List<LinkMessage.Placement> changes, long now) {
     if (changes.isEmpty()) {
@@ -414,7 +417,7 @@
 
   private void ordered(EndpointOrder order, HttpAnswer answer, Throwable failure, long sentAt) {
     OrderResult result = failure == null ? protocol.orderResult(answer) : OrderResult.UNKNOWN;
-    boolean shutOut;
+    boolean fenced;
     synchronized (this) {
       long now = clock.millis();
       log.belief("order")
@@ -428,12 +431,12 @@
           .with("took_ms", now - sentAt)
           .write();
       plan.ordered(order, result, now);
-      shutOut = result == OrderResult.FENCED && order.epoch() == epoch && active;
-      if (!shutOut) {
+      fenced = result == OrderResult.FENCED && order.epoch() == epoch && active;
+      if (!fenced) {
         work(now);
       }
     }
-    if (shutOut) {
+    if (fenced) {
       onFenced.run();
     }
   }
@@ -463,22 +466,22 @@
       channel.close();
       return;
     }
-    Linked linked = new Linked();
+    LinkedDaemon linked = new LinkedDaemon();
     linked.lastReceivedAt = clock.millis();
     links.put(channel, linked);
   }
 
   private synchronized void unlink(FrameChannel channel) {
-    Linked linked = links.remove(channel);
+    LinkedDaemon linked = links.remove(channel);
     subscribers.unsubscribe(channel);
     if (linked != null && linked.daemon != null) {
-      plan.left(linked.daemon);
+      plan.removeDaemon(linked.daemon);
       log.belief("daemon_unlinked").with("peer", linked.daemon).write();
     }
   }
 
   private synchronized void receive(FrameChannel channel, LinkMessage message) {
-    Linked linked = links.get(channel);
+    LinkedDaemon linked = links.get(channel);
     if (linked == null || !active) {
       return;
     }
@@ -486,7 +489,7 @@
     linked.lastReceivedAt = now;
     if (message instanceof LinkMessage.Hello hello) {
       linked.daemon = hello.daemon();
-      welcome(channel, now);
+      sendSnapshot(channel, now);
       log.belief("daemon_linked").with("peer", hello.daemon()).with("links", links.size()).write();
     } else if (message instanceof LinkMessage.UsageReport usage && linked.daemon != null) {
       linked.coordinates = usage.coordinator();
@@ -495,18 +498,18 @@
         work(now);
       }
     } else if (message instanceof LinkMessage.LoadRequest request) {
-      load(channel, request, now);
+      handleLoadRequest(channel, request, now);
     } else if (message instanceof LinkMessage.AdapterMiss miss) {
       plan.missed(miss.endpoint(), miss.adapter(), miss.early(), now);
       work(now);
     }
   }
 
-  private void welcome(FrameChannel channel, long now) {
-    channel.send(LinkFrames.encode(directory.whole()));
+  private void sendSnapshot(FrameChannel channel, long now) {
+    channel.send(LinkFrames.encode(directory.allEntries()));
     channel.send(LinkFrames.encode(allReleases()));
     channel.send(LinkFrames.encode(status()));
-    channel.send(LinkFrames.encode(new LinkMessage.Placements(true, plan.whole(now))));
+    channel.send(LinkFrames.encode(new LinkMessage.Placements(true, plan.snapshot(now))));
   }
 
   private LinkMessage.Releases allReleases() {
@@ -517,7 +520,7 @@
     return new LinkMessage.Releases(all);
   }
 
-  private void load(FrameChannel channel, LinkMessage.LoadRequest request, long now) {
+  private void handleLoadRequest(FrameChannel channel, LinkMessage.LoadRequest request, long now) {
     subscribers.subscribe(request.adapter(), channel, now);
     LoadReply reply = router.route(request, now);
     if (reply instanceof LoadReply.Rejected rejected) {
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinatorElection.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinatorElection.java
@@ -28,7 +28,7 @@
   /** What to do next. */
   enum Step {
     /** Do nothing now. */
-    REST,
+    NONE,
     /** Read the lease. */
     READ,
     /** Write {@link #proposal} if the object has the revision {@link #expected}. */
@@ -69,7 +69,7 @@
   private long renewedAt = NEVER;
   private boolean holding;
   private boolean busy;
-  private boolean giveUp;
+  private boolean releasing;
   private CoordinatorLease proposed;
 
   /**
@@ -93,21 +93,21 @@
    */
   Step next(long now, boolean linked) {
     if (busy) {
-      return Step.REST;
+      return Step.NONE;
     }
     if (holding) {
       long due = lastWriteAt + (renewedAt == lastWriteAt ? RENEW_MS : RETRY_MS);
-      return giveUp || now >= due ? write(now) : Step.REST;
+      return releasing || now >= due ? write(now) : Step.NONE;
     }
-    if (giveUp || linked) {
-      return Step.REST;
+    if (releasing || linked) {
+      return Step.NONE;
     }
     boolean readDue = now - lastReadAt >= READ_MS;
     if (read && mayTake(now) && !readDue && now - lastWriteAt >= RETRY_MS) {
       return write(now);
     }
     if (!readDue) {
-      return Step.REST;
+      return Step.NONE;
     }
     lastReadAt = now;
     busy = true;
@@ -131,7 +131,7 @@
       proposed = new CoordinatorLease(daemon, process, address, epoch + 1, 0, false);
     } else {
       CoordinatorLease held = seen.flatMap(Stored::value).orElseThrow();
-      proposed = giveUp ? held.givenUp() : held.renewed();
+      proposed = releasing ? held.givenUp() : held.renewed();
     }
     lastWriteAt = now;
     busy = true;
@@ -172,7 +172,7 @@
   }
 
   /** Handles the lease revision that a coordinator reported on its link. */
-  void leaseSeen(long revision, long now) {
+  void observeRevision(long revision, long now) {
     if (seen.isPresent() && seen.get().revision() < revision) {
       seen = Optional.of(new Stored<>(seen.get().name(), revision, seen.get().value(), ""));
       unchangedSince = now;
@@ -200,8 +200,8 @@
   }
 
   /** Starts to release the lease, for a planned stop. */
-  void giveUp() {
-    giveUp = true;
+  void release() {
+    releasing = true;
   }
 
   /** Ends the lease immediately because an endpoint has received a higher epoch. */
@@ -235,6 +235,6 @@
    *     holder fences it off
    */
   boolean mayOrder(long now, boolean fenced) {
-    return holding && !giveUp && (fenced || now - renewedAt < VALID_MS);
+    return holding && !releasing && (fenced || now - renewedAt < VALID_MS);
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinatorLink.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinatorLink.java
@@ -36,7 +36,7 @@
   private static final long IDLE_TIMEOUT_MS = 1_000;
 
   /** Longest interval between usage reports, in milliseconds. They also serve as heartbeats. */
-  private static final long ALIVE_MS = 500;
+  private static final long MAX_REPORT_INTERVAL_MS = 500;
 
   /** Delay of the report that an adapter became idle while loads are queued, in milliseconds. */
   private static final long IDLE_REPORT_DELAY_MS = 25;
@@ -48,7 +48,7 @@
     void placed(AdapterName adapter);
 
     /** Called when a data centre cannot load an adapter now. */
-    void noRoom(DataCentreId dataCentre, AdapterName adapter, long retryAfterMs);
+    void loadRejected(DataCentreId dataCentre, AdapterName adapter, long retryAfterMs);
 
     /** Called when a coordinator reports the version of an adapter. */
     void released(LinkMessage.Release release);
@@ -140,7 +140,7 @@
   }
 
   /** Returns whether a connection is open or being opened. */
-  synchronized boolean isTrying() {
+  synchronized boolean isOpenOrConnecting() {
     return channel != null || connecting;
   }
 
@@ -193,15 +193,15 @@
 
     @Override
     public void closed(FrameChannel lost) {
-      boolean was;
+      boolean wasUp;
       synchronized (CoordinatorLink.this) {
-        was = isUp();
+        wasUp = isUp();
         channel = null;
         connecting = false;
         alive = false;
       }
-      if (was) {
-        directory.uncoordinated(dataCentre);
+      if (wasUp) {
+        directory.coordinatorDisconnected(dataCentre);
         onLost.run();
         log.belief("coordinator_lost")
             .with("data_centre", dataCentre)
@@ -229,11 +229,11 @@
                       .groupOf(load.endpoint())
                       .ifPresent(group -> group.setOthers(load.endpoint(), load.load())));
     } else if (message instanceof LinkMessage.Endpoints endpoints) {
-      directory.relayed(endpoints);
+      directory.applyUpdate(endpoints);
     } else if (message instanceof LinkMessage.Releases releases) {
       releases.releases().forEach(listener::released);
-    } else if (message instanceof LinkMessage.LoadRejected noRoom) {
-      listener.noRoom(dataCentre, noRoom.adapter(), noRoom.retryAfterMs());
+    } else if (message instanceof LinkMessage.LoadRejected rejected) {
+      listener.loadRejected(dataCentre, rejected.adapter(), rejected.retryAfterMs());
     }
   }
 
@@ -245,10 +245,10 @@
       alive = true;
     }
     onStatus.accept(status);
-    directory.loads(dataCentre, status.loads());
+    directory.setLoadTimes(dataCentre, status.loads());
     slotsWanted = status.slotsWanted();
     if (first) {
-      directory.coordinated(dataCentre);
+      directory.coordinatorConnected(dataCentre);
       log.belief("coordinator_found")
           .with("data_centre", dataCentre)
           .with("epoch", status.epoch())
@@ -339,8 +339,8 @@
   /** Called when an adapter became idle; must not block. */
   void idle() {
     if (slotsWanted && reportScheduled.compareAndSet(false, true)) {
-      long soonMs = IDLE_REPORT_DELAY_MS * BroadcastInterval.rounds(daemons());
-      loop.schedule(this::reportIdle, soonMs, TimeUnit.MILLISECONDS);
+      long delayMs = IDLE_REPORT_DELAY_MS * BroadcastInterval.rounds(daemons());
+      loop.schedule(this::reportIdle, delayMs, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -359,7 +359,7 @@
     List<EndpointUsage> usages = new ArrayList<>();
     directory.groups().forEach(group -> usages.addAll(group.takeUsage(dataCentre, now)));
     synchronized (this) {
-      if (usages.isEmpty() && lastReportEmpty && now - lastReportAt < ALIVE_MS) {
+      if (usages.isEmpty() && lastReportEmpty && now - lastReportAt < MAX_REPORT_INTERVAL_MS) {
         return;
       }
       lastReportEmpty = usages.isEmpty();
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/DecisionLog.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/DecisionLog.java
@@ -25,9 +25,9 @@
 public final class DecisionLog {
 
   /** Largest number of queued lines; at about 300 bytes each they take about a megabyte. */
-  private static final int MAX_WAITING = 4_096;
+  private static final int MAX_QUEUED = 4_096;
 
-  private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MAX_WAITING);
+  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED);
   private final AtomicLong dropped = new AtomicLong();
   private final MillisClock wall;
   private final String daemon;
@@ -86,7 +86,7 @@
   /** Writes all queued lines, for the end of the process. */
   public void flush() {
     if (out != null) {
-      for (String line = waiting.poll(); line != null; line = waiting.poll()) {
+      for (String line = queue.poll(); line != null; line = queue.poll()) {
         print(line);
       }
       out.flush();
@@ -96,8 +96,8 @@
   private void writeLines() {
     try {
       while (true) {
-        print(waiting.take());
-        if (waiting.isEmpty()) {
+        print(queue.take());
+        if (queue.isEmpty()) {
           out.flush();
         }
       }
@@ -159,7 +159,7 @@
       } catch (IOException impossible) {
         throw new UncheckedIOException(impossible);
       }
-      if (!waiting.offer(text.toString())) {
+      if (!queue.offer(text.toString())) {
         dropped.incrementAndGet();
       }
     }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/DrainSchedule.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/DrainSchedule.java
@@ -6,16 +6,16 @@
  * <p>A request that cannot end before the process is refused immediately, so that its caller can
  * use another daemon instead of receiving a truncated response seconds later.
  *
- * @param takesAllUntil until then all requests are accepted, since the load balancer still sends
+ * @param acceptsAllUntil until then all requests are accepted, since the load balancer still sends
  *     them here; in milliseconds of the monotonic clock
  * @param endsAt when the process ends
  */
-record DrainSchedule(long takesAllUntil, long endsAt) {
+record DrainSchedule(long acceptsAllUntil, long endsAt) {
 
   /** No stop is planned. */
   static final DrainSchedule NEVER = new DrainSchedule(Long.MAX_VALUE, Long.MAX_VALUE);
 
-  boolean takes(long timeoutMs, long now) {
-    return now < takesAllUntil || now + timeoutMs <= endsAt;
+  boolean accepts(long timeoutMs, long now) {
+    return now < acceptsAllUntil || now + timeoutMs <= endsAt;
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointChooser.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointChooser.java
@@ -81,7 +81,7 @@
           : loadOrRefuse(
               other.get(), loadable, expectedMs(other.get(), generation, tokensPerMs), remainingMs);
     }
-    double beginMs = beginMs(holder.get(), generation, tokensPerMs);
+    double firstTokenMs = firstTokenMs(holder.get(), generation, tokensPerMs);
     boolean otherIsBetter =
         other.isPresent()
             && !loadable.isFull(other.get())
@@ -93,18 +93,18 @@
       return new Choice.RequestLoad(
           other.get().dataCentre(), true, false, expectedMs(other.get(), generation, tokensPerMs));
     }
-    if (beginMs > remainingMs) {
-      return tooLate(beginMs, remainingMs);
+    if (firstTokenMs > remainingMs) {
+      return tooLate(firstTokenMs, remainingMs);
     }
     if (holder.get().readyInMs() > 0) {
       return new Choice.AwaitLoad(holder.get(), holder.get().readyInMs());
     }
-    return new Choice.Send(holder.get(), (long) beginMs);
+    return new Choice.Send(holder.get(), (long) firstTokenMs);
   }
 
   /** Returns the time from the order of a load to the start of the response. */
   private static long expectedMs(Candidate best, Generation generation, double tokensPerMs) {
-    return (long) (loadMs(best) + beginMs(best, generation, tokensPerMs));
+    return (long) (loadMs(best) + firstTokenMs(best, generation, tokensPerMs));
   }
 
   private static double loadMs(Candidate candidate) {
@@ -190,23 +190,25 @@
    * Returns the time to the start of the response. The load of the adapter and the reading of
    * earlier prompts overlap.
    */
-  private static double beginMs(Candidate candidate, Generation generation, double tokensPerMs) {
-    double readMs =
-        EngineCost.beginMs(candidate.load(), unread(candidate, generation), tokensPerMs);
-    return candidate.slowdown() * readMs + overhead(candidate, generation, tokensPerMs);
+  private static double firstTokenMs(
+      Candidate candidate, Generation generation, double tokensPerMs) {
+    double prefillMs =
+        EngineCost.firstTokenMs(
+            candidate.load(), uncachedTokens(candidate, generation), tokensPerMs);
+    return candidate.slowdown() * prefillMs + overhead(candidate, generation, tokensPerMs);
   }
 
   private static double cost(Candidate candidate, Generation generation, double tokensPerMs) {
     double engineMs =
         EngineCost.ms(
             candidate.load(),
-            unread(candidate, generation),
+            uncachedTokens(candidate, generation),
             generation.expectedOutputTokens(),
             tokensPerMs);
     return candidate.slowdown() * engineMs + overhead(candidate, generation, tokensPerMs);
   }
 
-  private static long unread(Candidate candidate, Generation generation) {
+  private static long uncachedTokens(Candidate candidate, Generation generation) {
     return Math.max(0, generation.promptTokens() - candidate.cachedTokens());
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointDirectory.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointDirectory.java
@@ -36,10 +36,10 @@
    * milliseconds. A live endpoint writes its entry again within two seconds after the outage;
    * dropping expired ones immediately would leave the daemon without endpoints.
    */
-  private static final long LAPSE_GRACE_MS = 2_200;
+  private static final long EXPIRY_GRACE_MS = 2_200;
 
   /** How long a removed endpoint is retained for the requests in flight there, in milliseconds. */
-  private static final long FORGET_MS = 30_000;
+  private static final long RETENTION_MS = 30_000;
 
   private final DataCentreId here;
   private final AdapterVersions versions;
@@ -49,9 +49,9 @@
   private final Map<EndpointId, EndpointEntry> known = new ConcurrentHashMap<>();
   private final Set<DataCentreId> coordinated = ConcurrentHashMap.newKeySet();
   private volatile boolean listed;
-  private final Map<EndpointId, Long> seen = new ConcurrentHashMap<>();
-  private final Tombstones gone = new Tombstones();
-  private volatile long upTo;
+  private final Map<EndpointId, Long> revisions = new ConcurrentHashMap<>();
+  private final Tombstones tombstones = new Tombstones();
+  private volatile long currentRevision;
   private volatile Runnable onChange = () -> {};
   private volatile Watcher watcher = Watcher.NONE;
   private volatile Consumer<DataCentreId> onIdle = dataCentre -> {};
@@ -62,11 +62,11 @@
     private static final long serialVersionUID = 1L;
 
     /** Far more than are removed while a message of a coordinator is in transit. */
-    private static final int MOST = 1_000;
+    private static final int MAX_TOMBSTONES = 1_000;
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<EndpointId, Long> eldest) {
-      return size() > MOST;
+      return size() > MAX_TOMBSTONES;
     }
   }
 
@@ -109,7 +109,7 @@
   }
 
   /** Sets the listener for each change of the list. */
-  void watchedBy(Watcher newWatcher) {
+  void setWatcher(Watcher newWatcher) {
     watcher = newWatcher;
   }
 
@@ -142,12 +142,12 @@
   }
 
   @Override
-  public int coming(long now) {
-    return groups.values().stream().mapToInt(group -> group.coming(now)).sum();
+  public int loadsInProgress(long now) {
+    return groups.values().stream().mapToInt(group -> group.loadsInProgress(now)).sum();
   }
 
   /** Sets the estimates of load times in a data centre. */
-  void loads(DataCentreId dataCentre, LoadTimeEstimates loadTimes) {
+  void setLoadTimes(DataCentreId dataCentre, LoadTimeEstimates loadTimes) {
     groups.values().forEach(group -> group.setLoadTimes(dataCentre, loadTimes));
   }
 
@@ -183,7 +183,7 @@
   }
 
   /** Records that a connected coordinator reports what the endpoints of a data centre hold. */
-  void coordinated(DataCentreId dataCentre) {
+  void coordinatorConnected(DataCentreId dataCentre) {
     coordinated.add(dataCentre);
   }
 
@@ -191,9 +191,9 @@
    * Records that a data centre has no connected coordinator; the endpoints' own entries are used
    * again.
    */
-  void uncoordinated(DataCentreId dataCentre) {
+  void coordinatorDisconnected(DataCentreId dataCentre) {
     coordinated.remove(dataCentre);
-    groups.values().forEach(group -> group.forgetOthers(dataCentre));
+    groups.values().forEach(group -> group.clearOthers(dataCentre));
   }
 
   @Override
@@ -201,11 +201,11 @@
     Set<EndpointId> present = new HashSet<>();
     boolean changed = false;
     for (Stored<EndpointEntry> item : list.items()) {
-      changed |= take(item);
+      changed |= apply(item);
       item.value().ifPresent(entry -> present.add(entry.endpoint()));
     }
-    changed |= removeAllBut(present, list.revision(), afterOutage ? LAPSE_GRACE_MS : 0);
-    upTo = Math.max(upTo, list.revision());
+    changed |= removeAllBut(present, list.revision(), afterOutage ? EXPIRY_GRACE_MS : 0);
+    currentRevision = Math.max(currentRevision, list.revision());
     listed = true;
     onChange.run();
     return changed;
@@ -227,43 +227,44 @@
     boolean changed =
         change.removed()
             ? remove(
-                endpointNamed(change.object()),
+                endpointOf(change.object()),
                 change.object().revision(),
-                afterOutage ? LAPSE_GRACE_MS : 0)
-            : take(change.object());
-    upTo = Math.max(upTo, revision);
+                afterOutage ? EXPIRY_GRACE_MS : 0)
+            : apply(change.object());
+    currentRevision = Math.max(currentRevision, revision);
     onChange.run();
     return changed;
   }
 
   /** Applies an update of the list that a coordinator relays. */
-  void relayed(LinkMessage.Endpoints update) {
+  void applyUpdate(LinkMessage.Endpoints update) {
     Set<EndpointId> present = new HashSet<>();
     for (LinkMessage.ListedEndpoint item : update.entries()) {
       EndpointId endpoint = item.entry().endpoint();
       present.add(endpoint);
-      take(new Stored<>(endpoint.value(), item.revision(), Optional.of(item.entry()), ""));
+      apply(new Stored<>(endpoint.value(), item.revision(), Optional.of(item.entry()), ""));
     }
     update.gone().forEach(gone -> remove(gone.endpoint(), gone.revision(), gone.graceMs()));
     if (update.whole()) {
       removeAllBut(present, update.revision(), 0);
     }
-    upTo = Math.max(upTo, update.revision());
+    currentRevision = Math.max(currentRevision, update.revision());
     onChange.run();
   }
 
   /** Returns all entries, for daemons that do not watch the store. */
-  LinkMessage.Endpoints whole() {
+  LinkMessage.Endpoints allEntries() {
     // Read first: entries that change meanwhile are newer than this revision, which is harmless.
-    long revision = upTo;
+    long revision = currentRevision;
     List<LinkMessage.ListedEndpoint> entries = new ArrayList<>();
     for (EndpointEntry entry : known.values()) {
-      entries.add(new LinkMessage.ListedEndpoint(entry, seen.getOrDefault(entry.endpoint(), 0L)));
+      entries.add(
+          new LinkMessage.ListedEndpoint(entry, revisions.getOrDefault(entry.endpoint(), 0L)));
     }
     return new LinkMessage.Endpoints(true, revision, entries, List.of());
   }
 
-  private static EndpointId endpointNamed(Stored<EndpointEntry> object) {
+  private static EndpointId endpointOf(Stored<EndpointEntry> object) {
     return new EndpointId(object.name());
   }
 
@@ -272,7 +273,7 @@
    * entry comes from another writer and is ignored. So is an entry older than the known one, since
    * the store and the coordinators report the same changes in different order.
    */
-  private synchronized boolean take(Stored<EndpointEntry> item) {
+  private synchronized boolean apply(Stored<EndpointEntry> item) {
     if (item.value().isEmpty()) {
       log.belief("endpoint_entry_unreadable")
           .with("endpoint", item.name())
@@ -282,11 +283,12 @@
       return false;
     }
     EndpointEntry entry = item.value().get();
-    long newest = seen.getOrDefault(entry.endpoint(), gone.getOrDefault(entry.endpoint(), -1L));
+    long newest =
+        revisions.getOrDefault(entry.endpoint(), tombstones.getOrDefault(entry.endpoint(), -1L));
     if (newest >= item.revision()) {
       return false;
     }
-    seen.put(entry.endpoint(), item.revision());
+    revisions.put(entry.endpoint(), item.revision());
     EndpointEntry before = known.put(entry.endpoint(), entry);
     boolean isCoordinated = coordinated.contains(entry.dataCentre());
     boolean restarted = group(entry.service()).put(entry, isCoordinated, clock.millis());
@@ -317,13 +319,13 @@
    */
   private synchronized boolean remove(EndpointId endpoint, long revision, long graceMs) {
     EndpointEntry entry = known.get(endpoint);
-    if (entry == null || seen.getOrDefault(endpoint, 0L) > revision) {
+    if (entry == null || revisions.getOrDefault(endpoint, 0L) > revision) {
       return false;
     }
-    seen.remove(endpoint);
-    gone.put(endpoint, revision);
+    revisions.remove(endpoint);
+    tombstones.put(endpoint, revision);
     long now = clock.millis();
-    group(entry.service()).goneAt(endpoint, now + graceMs);
+    group(entry.service()).retireAt(endpoint, now + graceMs);
     known.remove(endpoint);
     log.belief("endpoint_gone")
         .with("endpoint", endpoint)
@@ -331,7 +333,7 @@
         .with("grace_ms", graceMs)
         .write();
     watcher.unlisted(new LinkMessage.GoneEndpoint(endpoint, revision, graceMs));
-    groups.values().forEach(group -> group.prune(now - FORGET_MS));
+    groups.values().forEach(group -> group.prune(now - RETENTION_MS));
     return true;
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointGroup.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointGroup.java
@@ -32,9 +32,8 @@
 public final class EndpointGroup {
 
   /**
-   * Two consecutive failures are enough, since each of several daemons sends few requests to an
-   * endpoint. Windows are short, since an endpoint that fails a share of its requests does so for
-   * seconds.
+   * Each of several daemons sends few requests to an endpoint, so two failures in a row count;
+   * windows are short, since an endpoint that fails a share of its requests does so for seconds.
    */
   private static final HealthSettings HEALTH =
       new HealthSettings(2, 400, 4_000, 4_000, 4, 0.25, 0.34);
@@ -45,20 +44,16 @@
   /** Initial estimate of the time of a plain call, in milliseconds. */
   private static final double FIRST_SERVICE_MS = 60;
 
-  /**
-   * Part of the time to the first token that is not spent on reading the prompt, in milliseconds.
-   */
+  /** Time to the first token beyond the reading of the prompt, in milliseconds. */
   private static final double FIRST_TOKEN_MS = 15;
 
   /**
    * A load that is later than this has failed, in milliseconds. Loads among many concurrent ones
-   * take several times as long as one alone, so a smaller bound would give up loads in progress.
+   * take several times as long as one alone.
    */
   private static final long LATE_LOAD_MS = 1_500;
 
-  /**
-   * Number of leading prompt parts that requests share; the last part belongs to one request only.
-   */
+  /** Leading prompt parts that requests share; the last part belongs to one request only. */
   private static final int SHARED_PARTS = 2;
 
   private final DataCentreId here;
@@ -66,9 +61,9 @@
   private final EndpointChooser chooser = new EndpointChooser();
   private final EndpointHealth health = new EndpointHealth(HEALTH);
   private final Map<EndpointId, EndpointState> endpoints = new TreeMap<>();
-  private final LearnedTime tokensPerMs = new LearnedTime(FIRST_TOKENS_PER_MS, 4, 400);
+  private final MovingAverage tokensPerMs = new MovingAverage(FIRST_TOKENS_PER_MS, 4, 400);
   private final Map<DataCentreId, LoadTimeEstimates> loadTimes = new HashMap<>();
-  private final LearnedTime serviceMs = new LearnedTime(FIRST_SERVICE_MS, 1, 10_000);
+  private final MovingAverage serviceMs = new MovingAverage(FIRST_SERVICE_MS, 1, 10_000);
   private final Consumer<DataCentreId> onIdle;
   private Optional<EngineSpec> engine = Optional.empty();
 
@@ -99,7 +94,7 @@
     }
     boolean restarted = state.entry.bornMs() != entry.bornMs();
     state.entry = entry;
-    state.goneAt = EndpointState.STAYS;
+    state.retiredAt = EndpointState.NEVER;
     if (restarted) {
       state.restarted();
     }
@@ -110,16 +105,16 @@
   }
 
   /** Sends an endpoint no more requests from a time on. */
-  synchronized void goneAt(EndpointId endpoint, long at) {
+  synchronized void retireAt(EndpointId endpoint, long at) {
     EndpointState state = endpoints.get(endpoint);
     if (state != null) {
-      state.goneAt = Math.min(state.goneAt, at);
+      state.retiredAt = Math.min(state.retiredAt, at);
     }
   }
 
   /** Removes endpoints that were retired before a time and have no requests of this daemon. */
-  synchronized void prune(long goneBefore) {
-    endpoints.values().removeIf(state -> state.goneAt < goneBefore && state.own.running() == 0);
+  synchronized void prune(long before) {
+    endpoints.values().removeIf(state -> state.retiredAt < before && state.own.running() == 0);
     health.retain(endpoints.keySet());
   }
 
@@ -175,9 +170,9 @@
 
   private Candidate candidate(EndpointState state, Demand demand, boolean home, long now) {
     Load load = state.own(now).plus(state.others);
-    long kept = demand.generation().map(g -> cachedTokens(state, g, home)).orElse(0L);
+    long cachedTokens = demand.generation().map(g -> cachedTokens(state, g, home)).orElse(0L);
     Optional<AdapterName> adapter = demand.generation().flatMap(Generation::adapter);
-    boolean cachesAdapter = adapter.filter(state.kept::isCached).isPresent();
+    boolean cachesAdapter = adapter.filter(state.cachedAdapters::isCached).isPresent();
     LoadTimeEstimates estimates = loadTimes(state.entry.dataCentre());
     return new Candidate(
         state.entry.endpoint(),
@@ -186,7 +181,7 @@
         state.entry.slots(),
         load,
         engine.map(EngineSpec::kvTokens).orElse(0L),
-        kept,
+        cachedTokens,
         readyInMs(state, demand, now),
         cachesAdapter,
         state.slowdown.value(now),
@@ -279,10 +274,10 @@
     if (state != null) {
       Set<AdapterName> left = new HashSet<>(state.copies.keySet());
       left.removeAll(copies.keySet());
-      left.forEach(state.prompts::forget);
+      left.forEach(state.prompts::removeAdapter);
       state.copies.clear();
       state.copies.putAll(copies);
-      copies.keySet().forEach(state.kept::held);
+      copies.keySet().forEach(state.cachedAdapters::held);
     }
   }
 
@@ -323,12 +318,12 @@
   /** Returns the adapters that an endpoint held recently, the most recent one last. */
   synchronized List<AdapterName> recentAdapters(EndpointId endpoint) {
     EndpointState state = endpoints.get(endpoint);
-    return state == null ? List.of() : state.kept.all();
+    return state == null ? List.of() : state.cachedAdapters.all();
   }
 
   /** Removes an adapter from the cache models, since the cached versions are outdated. */
-  synchronized void outdated(AdapterName adapter) {
-    endpoints.values().forEach(state -> state.kept.lost(adapter));
+  synchronized void removeFromCaches(AdapterName adapter) {
+    endpoints.values().forEach(state -> state.cachedAdapters.remove(adapter));
   }
 
   /** Sets the copy of an adapter at an endpoint; null if it was unloaded. */
@@ -339,10 +334,10 @@
     }
     if (copy == null) {
       state.copies.remove(adapter);
-      state.prompts.forget(adapter);
+      state.prompts.removeAdapter(adapter);
     } else {
       state.copies.put(adapter, copy);
-      state.kept.held(adapter);
+      state.cachedAdapters.held(adapter);
     }
   }
 
@@ -368,10 +363,7 @@
     return true;
   }
 
-  /**
-   * Records that an endpoint does not hold an adapter, after the endpoint has reported so; the
-   * coordinator handles the cause.
-   */
+  /** Records that an endpoint reported an adapter missing; the coordinator handles the cause. */
   public synchronized void absent(EndpointId endpoint, AdapterName adapter) {
     EndpointState state = endpoints.get(endpoint);
     if (state != null) {
@@ -380,7 +372,7 @@
   }
 
   /** Removes the load of other daemons in a data centre whose coordinator is disconnected. */
-  synchronized void forgetOthers(DataCentreId dataCentre) {
+  synchronized void clearOthers(DataCentreId dataCentre) {
     for (EndpointState state : endpoints.values()) {
       if (state.entry.dataCentre().equals(dataCentre)) {
         state.others = Load.NONE;
@@ -436,14 +428,14 @@
   }
 
   /** Returns the number of loads in progress at the endpoints. */
-  synchronized int coming(long now) {
-    int coming = 0;
+  synchronized int loadsInProgress(long now) {
+    int count = 0;
     for (EndpointState state : endpoints.values()) {
       for (EndpointState.Copy copy : state.copies.values()) {
-        coming += copy.readyAt() > now ? 1 : 0;
+        count += copy.readyAt() > now ? 1 : 0;
       }
     }
-    return coming;
+    return count;
   }
 
   synchronized List<EndpointEntry> entries(long now) {
@@ -480,7 +472,7 @@
       this.backlog = state.own.plus(state.others).prefillTokens() + load.prefillTokens();
       this.usualMs =
           FIRST_TOKEN_MS
-              + EngineCost.beginMs(
+              + EngineCost.firstTokenMs(
                   state.own.plus(state.others), load.prefillTokens(), tokensPerMs.value());
       state.own = state.own.plus(load);
       state.recent.add(load.prefillTokens(), now);
@@ -508,7 +500,7 @@
           begun = true;
           state.stalls.streamStarted(now);
           state.own = state.own.minus(new Load(0, load.prefillTokens(), 0, 0));
-          learnReadingSpeed(now);
+          sampleReadingSpeed(now);
           generation.ifPresent(g -> state.slowdown.sample((double) (now - sentAt), usualMs, now));
         }
       }
@@ -538,10 +530,8 @@
       }
     }
 
-    /**
-     * The time of short prompts depends on steps and network round trips, not on the reading speed.
-     */
-    private void learnReadingSpeed(long now) {
+    /** Samples long prompts only: the time of short ones depends on steps and round trips. */
+    private void sampleReadingSpeed(long now) {
       double readingMs = now - sentAt - FIRST_TOKEN_MS;
       if (generation.isPresent() && backlog >= 1_000 && readingMs > 0) {
         tokensPerMs.sample(backlog / readingMs);
@@ -586,9 +576,7 @@
       }
     }
 
-    /**
-     * Returns whether more than half of the endpoint's slots were free when the request was sent.
-     */
+    /** Returns whether most slots of the endpoint were free when the request was sent. */
     public boolean wasHalfEmpty() {
       return runningBefore < state.entry.slots() / 2;
     }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointSpeedEstimator.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointSpeedEstimator.java
@@ -12,18 +12,18 @@
   private static final double WEIGHT = 0.12;
 
   /** Bounds of one sample; values beyond them have other causes. */
-  private static final double LEAST = 0.25;
+  private static final double MIN_RATIO = 0.25;
 
-  private static final double MOST = 8;
+  private static final double MAX_RATIO = 8;
 
   /**
    * Time constant of the decay without samples, in milliseconds: the logarithm falls to about a
    * third.
    */
-  private static final double FADES_MS = 5_000;
+  private static final double DECAY_MS = 5_000;
 
   private double logarithm;
-  private long learnedAt;
+  private long sampledAt;
 
   /**
    * Records the start of a response.
@@ -33,18 +33,18 @@
    * @param now the time, in milliseconds
    */
   void sample(double actualMs, double expectedMs, long now) {
-    double ratio = Math.max(LEAST, Math.min(MOST, actualMs / expectedMs));
-    double known = faded(now);
+    double ratio = Math.max(MIN_RATIO, Math.min(MAX_RATIO, actualMs / expectedMs));
+    double known = decayed(now);
     logarithm = known + WEIGHT * (Math.log(ratio) - known);
-    learnedAt = now;
+    sampledAt = now;
   }
 
   /** Returns the engine's response time relative to the average. */
   double value(long now) {
-    return Math.exp(faded(now));
+    return Math.exp(decayed(now));
   }
 
-  private double faded(long now) {
-    return logarithm * Math.exp((learnedAt - now) / FADES_MS);
+  private double decayed(long now) {
+    return logarithm * Math.exp((sampledAt - now) / DECAY_MS);
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointStallDetector.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointStallDetector.java
@@ -20,24 +20,24 @@
   private static final double STALL_PAUSE_RATIO = 8;
 
   private static final double FIRST_PAUSE_MS = 50;
-  private static final double LONGEST_PAUSE_MS = 2_000;
+  private static final double MAX_PAUSE_MS = 2_000;
 
-  private final LearnedTime pauseMs = new LearnedTime(FIRST_PAUSE_MS, 1, LONGEST_PAUSE_MS);
+  private final MovingAverage pauseMs = new MovingAverage(FIRST_PAUSE_MS, 1, MAX_PAUSE_MS);
   private int streams;
-  private long at;
+  private long lastEventAt;
 
   /** Records that a stream has started. */
   void streamStarted(long now) {
     streams++;
-    at = now;
+    lastEventAt = now;
   }
 
   /** Records an event on any stream. */
   void progress(long now) {
     if (streams >= MIN_STREAMS) {
-      pauseMs.sample((double) (now - at));
+      pauseMs.sample((double) (now - lastEventAt));
     }
-    at = now;
+    lastEventAt = now;
   }
 
   /** Records that a stream has ended. */
@@ -47,7 +47,7 @@
 
   /** Returns whether the endpoint sends nothing on any of several streams. */
   boolean isStalled(long now) {
-    double silence = Math.max(MIN_STALL_MS, STALL_PAUSE_RATIO * pauseMs.value());
-    return streams >= MIN_STREAMS && now - at >= silence;
+    double stallMs = Math.max(MIN_STALL_MS, STALL_PAUSE_RATIO * pauseMs.value());
+    return streams >= MIN_STREAMS && now - lastEventAt >= stallMs;
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointState.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointState.java
@@ -11,12 +11,12 @@
 final class EndpointState {
 
   /** The endpoint is not going to be removed. */
-  static final long STAYS = Long.MAX_VALUE;
+  static final long NEVER = Long.MAX_VALUE;
 
   EndpointEntry entry;
-  long goneAt = STAYS;
+  long retiredAt = NEVER;
   Load own = Load.NONE;
-  final Recent recent = new Recent();
+  final DecayingSum recent = new DecayingSum();
   EndpointSpeedEstimator slowdown = new EndpointSpeedEstimator();
   final EndpointStallDetector stalls = new EndpointStallDetector();
   Load others = Load.NONE;
@@ -24,13 +24,13 @@
   final Map<AdapterName, Integer> inUse = new HashMap<>();
   final Map<AdapterName, Integer> starts = new HashMap<>();
   PrefixCacheModel prompts = new PrefixCacheModel();
-  AdapterCacheModel kept;
+  AdapterCacheModel cachedAdapters;
   private final IntSupplier cacheDepth;
 
   EndpointState(EndpointEntry entry, IntSupplier cacheDepth) {
     this.entry = entry;
     this.cacheDepth = cacheDepth;
-    this.kept = new AdapterCacheModel(cacheDepth);
+    this.cachedAdapters = new AdapterCacheModel(cacheDepth);
   }
 
   /**
@@ -70,7 +70,7 @@
   }
 
   /** An exponentially decaying sum. */
-  static final class Recent {
+  static final class DecayingSum {
     private double sum;
     private long at;
 
@@ -85,7 +85,7 @@
   }
 
   boolean takesWork(long now) {
-    return !entry.leaving() && now < goneAt;
+    return !entry.leaving() && now < retiredAt;
   }
 
   /** Returns whether it accepts requests and holds or loads an adapter. */
@@ -98,7 +98,7 @@
     copies.clear();
     prompts = new PrefixCacheModel();
     slowdown = new EndpointSpeedEstimator();
-    kept = new AdapterCacheModel(cacheDepth);
+    cachedAdapters = new AdapterCacheModel(cacheDepth);
     others = Load.NONE;
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EngineCost.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EngineCost.java
@@ -16,16 +16,16 @@
    * same steps: each request makes a step a hundredth of a millisecond longer, and its context adds
    * some more. Over the steps of a prefill this is the sum.
    */
-  private static final double RUNNING_MS = 1.5;
+  private static final double RUNNING_REQUEST_MS = 1.5;
 
   /**
    * Weight of the delay that a prompt causes for one running response. Most responses have time to
    * spare; only the few that have none become late.
    */
-  private static final double HARM = 0.12;
+  private static final double INTERFERENCE_WEIGHT = 0.12;
 
   /** Weight of the time that a response takes after its first token, for the same reason. */
-  private static final double ANSWER = 0.15;
+  private static final double GENERATION_WEIGHT = 0.15;
 
   /** Time per token while no prompt is being read, in milliseconds: one step. */
   private static final double STEP_MS = 6;
@@ -34,26 +34,27 @@
    * Share of the prefill time that is lost for token generation. A step that includes a prompt
    * chunk still generates one token, but takes about ten times as long.
    */
-  private static final double SLOWED = 0.9;
+  private static final double PREFILL_SLOWDOWN = 0.9;
 
   /**
    * Upper bound of the prefill share: an engine that always reads prompts still generates tokens.
    */
-  private static final double MOST_READING = 0.95;
+  private static final double MAX_PREFILL_SHARE = 0.95;
 
   private EngineCost() {}
 
   /** Returns the time to the first token. */
-  static double beginMs(Load load, long unreadTokens, double tokensPerMs) {
-    return (load.prefillTokens() + unreadTokens) / tokensPerMs + load.running() * RUNNING_MS;
+  static double firstTokenMs(Load load, long uncachedTokens, double tokensPerMs) {
+    return (load.prefillTokens() + uncachedTokens) / tokensPerMs
+        + load.running() * RUNNING_REQUEST_MS;
   }
 
   /** Returns the total cost of a request. */
-  static double ms(Load load, long unreadTokens, long outputTokens, double tokensPerMs) {
-    double reading = load.recentTokens() / (tokensPerMs * RECENT_MS);
-    double tokenMs = STEP_MS / (1 - SLOWED * Math.min(MOST_READING, reading));
-    return beginMs(load, unreadTokens, tokensPerMs)
-        + HARM * load.running() * unreadTokens / tokensPerMs
-        + ANSWER * outputTokens * tokenMs;
+  static double ms(Load load, long uncachedTokens, long outputTokens, double tokensPerMs) {
+    double prefillShare = load.recentTokens() / (tokensPerMs * RECENT_MS);
+    double tokenMs = STEP_MS / (1 - PREFILL_SLOWDOWN * Math.min(MAX_PREFILL_SHARE, prefillShare));
+    return firstTokenMs(load, uncachedTokens, tokensPerMs)
+        + INTERFERENCE_WEIGHT * load.running() * uncachedTokens / tokensPerMs
+        + GENERATION_WEIGHT * outputTokens * tokenMs;
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/FreezeDetector.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/FreezeDetector.java
@@ -32,7 +32,7 @@
   /**
    * Returns whether the clocks have drifted apart since the last call; if so, the lease is suspect.
    */
-  boolean noticed() {
+  boolean checkDrift() {
     long current = wall.millis() - monotonic.millis();
     boolean drifted = Math.abs(current - offset) > DRIFT_MS;
     offset = drifted ? current : offset;
@@ -41,7 +41,7 @@
   }
 
   /** Records that the lease was renewed after the drift. */
-  void trust() {
+  void leaseRenewed() {
     suspect = false;
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/Gateway.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/Gateway.java
@@ -88,12 +88,12 @@
    * Shortest time that a stopping daemon waits, in milliseconds: the load balancer polls readiness
    * once a second and needs two failures.
    */
-  private static final long LEAST_STOP_MS = 2_600;
+  private static final long MIN_STOP_MS = 2_600;
 
   /** Last part of the grace period, left for the exit of the process, in milliseconds. */
   private static final long STOP_MARGIN_MS = 450;
 
-  private static final long STOP_LOOK_MS = 50;
+  private static final long STOP_POLL_MS = 50;
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
 
@@ -140,16 +140,16 @@
       Deployment deployment, HostSettings settings, OptionalInt metricsPort, DecisionLog log)
       throws IOException {
     Gateway gateway = new Gateway(settings, log);
-    gateway.begin(deployment, metricsPort);
+    gateway.start(deployment, metricsPort);
     return gateway;
   }
 
-  private void begin(Deployment deployment, OptionalInt metricsPort) throws IOException {
+  private void start(Deployment deployment, OptionalInt metricsPort) throws IOException {
     HttpClient http = HttpClient.create(loops, CONNECT_TIMEOUT_MS);
     MetadataStore store = deployment.store(http, settings);
     HttpClient endpointHttp =
         HttpClient.create(loops, CONNECT_TIMEOUT_MS, deployment.endpointProtocol().echoedHeader());
-    beginCoordination(deployment, http, store);
+    startCoordination(deployment, http, store);
     RelayContext context =
         new RelayContext(
             endpointHttp,
@@ -164,7 +164,7 @@
     callers =
         new CallerHandler(
             context, configuration::get, directory, settings.bounds(), () -> node.daemons());
-    beginFeeds(store);
+    startFeeds(store);
     callerServer =
         HttpServer.builder(loops, callers).limits(this::limits).start(settings.callers());
     HttpServer.builder(
@@ -188,7 +188,7 @@
     return known == null ? FIRST_LIMITS : known.limits();
   }
 
-  private void beginCoordination(Deployment deployment, HttpClient http, MetadataStore store)
+  private void startCoordination(Deployment deployment, HttpClient http, MetadataStore store)
       throws IOException {
     FrameTransport transport = FrameTransport.create(loops);
     MillisClock wall = MillisClock.wall();
@@ -204,8 +204,8 @@
             clock,
             new FreezeDetector(clock, wall),
             log);
-    ModelLoads modelLoads =
-        new ModelLoads(settings.bounds().loadWindowMs(), settings.regions().size());
+    ModelLoadLimiter modelLoads =
+        new ModelLoadLimiter(settings.bounds().loadWindowMs(), settings.regions().size());
     coordinator =
         new Coordinator(
             new Coordinator.CoordinatorSettings(settings.daemon(), settings.dataCentre()),
@@ -217,12 +217,12 @@
     node.use(coordinator, links(transport));
     directory.onChange(coordinator::observe);
     directory.onIdle(node::idle);
-    directory.watchedBy(coordinator.watcher());
-    coordinator.use(this::known);
+    directory.setWatcher(coordinator.watcher());
+    coordinator.use(this::storeView);
     transport.listen(settings.links(), coordinator::listener);
   }
 
-  private LinkMessage.StoreView known(StoreFreshness.Topic topic) {
+  private LinkMessage.StoreView storeView(StoreFreshness.Topic topic) {
     StoreFeed<?> feed = feeds.get(topic);
     return feed == null ? LinkMessage.StoreView.NONE : feed.view();
   }
@@ -237,8 +237,8 @@
     settings
         .regions()
         .forEach(
-            (dataCentre, its) -> {
-              if (its.equals(region)) {
+            (dataCentre, itsRegion) -> {
+              if (itsRegion.equals(region)) {
                 Consumer<LinkMessage.CoordinatorStatus> onStatus =
                     status -> {
                       node.updateStatus(dataCentre, status);
@@ -251,29 +251,30 @@
                     };
                 links.add(
                     new CoordinatorLink(
-                        self, dataCentre, directory, io, new Placed(), onStatus, lost));
+                        self, dataCentre, directory, io, new LinkEvents(), onStatus, lost));
               }
             });
     return links;
   }
 
-  private void beginFeeds(MetadataStore store) {
-    feed(
+  private void startFeeds(MetadataStore store) {
+    startFeed(
         store,
         StoreKind.CONFIGURATION,
         CONFIGURATION_TIMING,
         StoreFreshness.Topic.CONFIGURATION,
-        StoreFeed.Listener.ofEach(this::takeConfiguration));
-    feed(store, StoreKind.ENDPOINTS, ENDPOINT_TIMING, StoreFreshness.Topic.ENDPOINTS, directory);
-    feed(
+        StoreFeed.Listener.ofEach(this::applyConfiguration));
+    startFeed(
+        store, StoreKind.ENDPOINTS, ENDPOINT_TIMING, StoreFreshness.Topic.ENDPOINTS, directory);
+    startFeed(
         store,
         StoreKind.RELEASES,
         RELEASE_TIMING,
         StoreFreshness.Topic.RELEASES,
-        StoreFeed.Listener.ofEach(this::takeRelease));
+        StoreFeed.Listener.ofEach(this::applyRelease));
   }
 
-  private <T> void feed(
+  private <T> void startFeed(
       MetadataStore store,
       StoreKind<T> kind,
       StoreFeed.Timing timing,
@@ -296,7 +297,7 @@
       @Override
       public boolean isFresh(long now) {
         return node.isCoordinator()
-            ? storeFreshness.areFreshBefore(settings.dataCentre(), topic, now)
+            ? storeFreshness.areFreshForCoordinator(settings.dataCentre(), topic, now)
             : storeFreshness.areFresh(topic, now);
       }
 
@@ -311,7 +312,7 @@
     try {
       node.tick();
       coordinator.tick();
-      feeds.values().forEach(StoreFeed::look);
+      feeds.values().forEach(StoreFeed::checkRelay);
     } catch (RuntimeException e) {
       // The scheduler would cancel all later rounds after an exception.
       log.belief("internal_error").with("where", "tick").with("cause", e.toString()).write();
@@ -329,24 +330,24 @@
    * @throws InterruptedException if the thread is interrupted
    */
   public void drain() throws InterruptedException {
-    long begun = clock.millis();
+    long startedAt = clock.millis();
     draining = true;
-    log.belief("stopping").with("requests", callers.underWay()).write();
+    log.belief("stopping").with("requests", callers.inFlight()).write();
     callerServer.closeAfterAnswers();
-    node.giveUp();
-    long latest = begun + settings.bounds().graceMs() - STOP_MARGIN_MS;
-    callers.stopAt(begun + LEAST_STOP_MS, latest);
+    node.releaseLease();
+    long latest = startedAt + settings.bounds().graceMs() - STOP_MARGIN_MS;
+    callers.startDrain(startedAt + MIN_STOP_MS, latest);
     while (clock.millis() < latest) {
-      boolean polledLongEnough = clock.millis() - begun >= LEAST_STOP_MS;
+      boolean polledLongEnough = clock.millis() - startedAt >= MIN_STOP_MS;
       if (polledLongEnough) {
         callerServer.closeResting();
       }
-      if (polledLongEnough && callers.underWay() == 0 && callerServer.openConnections() == 0) {
+      if (polledLongEnough && callers.inFlight() == 0 && callerServer.openConnections() == 0) {
         break;
       }
-      TimeUnit.MILLISECONDS.sleep(STOP_LOOK_MS);
+      TimeUnit.MILLISECONDS.sleep(STOP_POLL_MS);
     }
-    log.belief("stopped").with("requests_cut", callers.underWay()).write();
+    log.belief("stopped").with("requests_cut", callers.inFlight()).write();
     log.flush();
   }
 
@@ -354,7 +355,7 @@
    * Applies a configuration unless a newer one is in use: responses of the store may arrive out of
    * order.
    */
-  private void takeConfiguration(Stored<ServingConfiguration> item) {
+  private void applyConfiguration(Stored<ServingConfiguration> item) {
     if (item.value().isEmpty()) {
       log.belief("configuration_unreadable")
           .with("revision", item.revision())
@@ -376,7 +377,7 @@
         .write();
   }
 
-  private void takeRelease(Stored<AdapterRelease> item) {
+  private void applyRelease(Stored<AdapterRelease> item) {
     if (item.value().isEmpty()) {
       log.belief("release_unreadable")
           .with("name", item.name())
@@ -397,11 +398,11 @@
         .with("version", version)
         .with("source", source)
         .write();
-    directory.groups().forEach(group -> group.outdated(adapter));
+    directory.groups().forEach(group -> group.removeFromCaches(adapter));
     coordinator.released(adapter, version);
   }
 
-  private final class Placed implements CoordinatorLink.Listener {
+  private final class LinkEvents implements CoordinatorLink.Listener {
 
     @Override
     public void placed(AdapterName adapter) {
@@ -409,7 +410,7 @@
     }
 
     @Override
-    public void noRoom(DataCentreId dataCentre, AdapterName adapter, long retryAfterMs) {
+    public void loadRejected(DataCentreId dataCentre, AdapterName adapter, long retryAfterMs) {
       waiting.noRoom(dataCentre, adapter, retryAfterMs);
     }
 
@@ -428,7 +429,7 @@
 
     @Override
     public List<DataCentreId> loadable() {
-      return node.coordinated();
+      return node.coordinatedDataCentres();
     }
 
     @Override
@@ -452,7 +453,7 @@
     @Override
     public void missed(
         DataCentreId dataCentre, EndpointId endpoint, AdapterName adapter, boolean early) {
-      node.missed(dataCentre, endpoint, adapter, early);
+      node.reportMiss(dataCentre, endpoint, adapter, early);
     }
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/LoadUnderWay.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/LoadInProgress.java
@@ -4,44 +4,45 @@
  * One load of an adapter, from its order until it is known whether the adapter was available at the
  * expected time; guarded by the lock of its plan.
  */
-final class LoadUnderWay {
+final class LoadInProgress {
 
   /**
    * Time after the expected arrival without a refusal after which the adapter counts as loaded, in
    * milliseconds. Requests are sent at the expected arrival, and a refusal takes some ten
    * milliseconds.
    */
-  private static final long SETTLED_MS = 250;
+  private static final long SETTLE_MS = 250;
 
   /** A load that takes this many times as long as one from memory comes from the store. */
-  private static final long MEMORY_TIMES = 4;
+  private static final long MAX_MEMORY_RATIO = 4;
 
   /** A late load is checked again after its usual time divided by this. */
-  private static final long AGAIN_SHARE = 5;
+  private static final long RETRY_DIVISOR = 5;
 
   private final long orderedAt;
-  private final int beside;
+  private final int concurrentLoads;
   private final int depth;
   private final long expectedMs;
   private boolean fromMemory;
-  private boolean tried;
+  private boolean requestSent;
   private long refusedAgeMs;
-  private double shareLeft = 1;
+  private double remainingShare = 1;
   private long advancedAt;
 
   /**
    * Creates a load.
    *
    * @param orderedAt when the engine accepted the order, in milliseconds
-   * @param beside loads from the store that are in progress, this one included
+   * @param concurrentLoads loads from the store that are in progress, this one included
    * @param fromMemory whether the engine is assumed to have cached the adapter
    * @param depth how many adapters the engine has held since it last held this one
    * @param expectedMs time from the order until the adapter is expected, in milliseconds
    */
-  LoadUnderWay(long orderedAt, int beside, boolean fromMemory, int depth, long expectedMs) {
+  LoadInProgress(
+      long orderedAt, int concurrentLoads, boolean fromMemory, int depth, long expectedMs) {
     this.orderedAt = orderedAt;
     this.advancedAt = orderedAt;
-    this.beside = beside;
+    this.concurrentLoads = concurrentLoads;
     this.fromMemory = fromMemory;
     this.depth = depth;
     this.expectedMs = expectedMs;
@@ -53,8 +54,8 @@
   }
 
   /** Records that a request was sent to the copy. */
-  void tried() {
-    tried = true;
+  void requestSent() {
+    requestSent = true;
   }
 
   /**
@@ -66,10 +67,10 @@
    * @return the remaining time of the load, in milliseconds
    */
   long advance(LoadTime time, long now) {
-    double wholeMs = (double) expectedMs * time.storeMs(now) / time.storeMs(beside);
-    shareLeft = Math.max(0, shareLeft - (now - advancedAt) / wholeMs);
+    double totalMs = (double) expectedMs * time.storeMs(now) / time.storeMs(concurrentLoads);
+    remainingShare = Math.max(0, remainingShare - (now - advancedAt) / totalMs);
     advancedAt = now;
-    return (long) (shareLeft * wholeMs);
+    return (long) (remainingShare * totalMs);
   }
 
   /**
@@ -77,23 +78,23 @@
    *
    * @return the new time until the adapter is expected, in milliseconds
    */
-  long refused(LoadTime time, AdapterCacheDepthEstimator kept, long now) {
+  long refused(LoadTime time, AdapterCacheDepthEstimator cacheDepth, long now) {
     long ageMs = now - orderedAt;
-    if (fromMemory && (refusedAgeMs > 0 || ageMs > MEMORY_TIMES * time.memoryMs())) {
+    if (fromMemory && (refusedAgeMs > 0 || ageMs > MAX_MEMORY_RATIO * time.memoryMs())) {
       fromMemory = false;
       refusedAgeMs = 0;
-      kept.notCached(depth);
-      return Math.max(time.memoryMs(), time.storeMs(beside) - ageMs);
+      cacheDepth.notCached(depth);
+      return Math.max(time.memoryMs(), time.storeMs(concurrentLoads) - ageMs);
     }
     refusedAgeMs = ageMs;
     if (!fromMemory) {
-      time.storeEarly(beside, ageMs);
+      time.storeMissingAt(concurrentLoads, ageMs);
     }
-    return fromMemory ? time.memoryMs() : againMs(time);
+    return fromMemory ? time.memoryMs() : retryMs(time);
   }
 
-  private long againMs(LoadTime time) {
-    return Math.max(time.memoryMs(), time.storeMs(beside) / AGAIN_SHARE);
+  private long retryMs(LoadTime time) {
+    return Math.max(time.memoryMs(), time.storeMs(concurrentLoads) / RETRY_DIVISOR);
   }
 
   /**
@@ -102,29 +103,29 @@
    * @param readyAt when the adapter was last expected, in milliseconds
    * @return whether the outcome is known
    */
-  boolean settle(LoadTime time, AdapterCacheDepthEstimator kept, long readyAt, long now) {
-    if (now < readyAt + SETTLED_MS) {
+  boolean settle(LoadTime time, AdapterCacheDepthEstimator cacheDepth, long readyAt, long now) {
+    if (now < readyAt + SETTLE_MS) {
       return false;
     }
-    if (tried) {
-      learn(time, kept, readyAt - orderedAt);
+    if (requestSent) {
+      updateEstimates(time, cacheDepth, readyAt - orderedAt);
     }
     return true;
   }
 
-  private void learn(LoadTime time, AdapterCacheDepthEstimator kept, long ageMs) {
+  private void updateEstimates(LoadTime time, AdapterCacheDepthEstimator cacheDepth, long ageMs) {
     if (fromMemory) {
-      kept.kept(depth);
+      cacheDepth.cached(depth);
     }
     if (refusedAgeMs > 0) {
       // For a load from the store, refused() has already updated the estimate.
       if (fromMemory) {
-        time.memoryEarly(refusedAgeMs);
+        time.memoryMissingAt(refusedAgeMs);
       }
     } else if (fromMemory) {
-      time.memoryInTime(ageMs);
+      time.memoryArrivedBy(ageMs);
     } else {
-      time.storeInTime(beside, ageMs);
+      time.storeArrivedBy(concurrentLoads, ageMs);
     }
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/LoadNeed.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/LoadNeed.java
@@ -24,7 +24,7 @@
   }
 
   /** Returns requirements that satisfy both; the size is that of this one. */
-  LoadNeed and(LoadNeed other) {
+  LoadNeed merge(LoadNeed other) {
     Set<EndpointId> both = new HashSet<>(excluded);
     both.addAll(other.excluded);
     return new LoadNeed(adapter, Math.max(version, other.version), size, both);
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/LoadQueue.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/LoadQueue.java
@@ -29,7 +29,7 @@
   private final Predicate<AdapterName> isHeldOutside;
   private final SlotTurnoverEstimator turnover = new SlotTurnoverEstimator();
   private final SlotTurnoverEstimator lateTurnover = new SlotTurnoverEstimator();
-  private boolean lateWaited;
+  private boolean hadLateEntries;
   private final Map<AdapterName, Entry> entries = new HashMap<>();
 
   /**
@@ -51,9 +51,9 @@
       return inTimeUntil < now;
     }
 
-    private Entry and(Entry other) {
+    private Entry merge(Entry other) {
       return new Entry(
-          need.and(other.need),
+          need.merge(other.need),
           Math.min(inTimeUntil, other.inTimeUntil),
           Math.max(until, other.until));
     }
@@ -85,9 +85,9 @@
    * @param now the time, in milliseconds
    */
   LoadReply loadOrEnqueue(Entry entry, long now) {
-    LoadReply atOnce = plan.request(entry.need(), false, now);
-    if (!(atOnce instanceof LoadReply.Rejected)) {
-      return atOnce;
+    LoadReply reply = plan.request(entry.need(), false, now);
+    if (!(reply instanceof LoadReply.Rejected)) {
+      return reply;
     }
     // An entry that is merged with a queued one needs no further slot.
     if (!entries.containsKey(entry.adapter())) {
@@ -96,25 +96,25 @@
         return new LoadReply.Rejected(expectedMs);
       }
       if (entries.isEmpty()) {
-        turnover.waiting(now);
+        turnover.queueStarted(now);
       }
     }
-    entries.merge(entry.adapter(), entry, Entry::and);
+    entries.merge(entry.adapter(), entry, Entry::merge);
     return new LoadReply.Queued();
   }
 
   /** Returns the expected wait of a new entry, in milliseconds. */
   long queueWaitMs(Entry entry, long now) {
-    long ahead = entries.values().stream().filter(other -> goesBefore(other, entry, now)).count();
-    long inTimeMs = turnover.expectedMs((int) ahead, plan.places(), now);
+    long ahead = entries.values().stream().filter(other -> isAhead(other, entry, now)).count();
+    long inTimeMs = turnover.expectedMs((int) ahead, plan.slots(), now);
     if (now + inTimeMs <= entry.inTimeUntil()) {
       return inTimeMs;
     }
     long lateAhead = entries.values().stream().filter(other -> other.isLate(now)).count();
-    return Math.max(inTimeMs, lateTurnover.expectedMs((int) lateAhead, plan.places(), now));
+    return Math.max(inTimeMs, lateTurnover.expectedMs((int) lateAhead, plan.slots(), now));
   }
 
-  private static boolean goesBefore(Entry other, Entry entry, long now) {
+  private static boolean isAhead(Entry other, Entry entry, long now) {
     return !other.isLate(now) && other.inTimeUntil() <= entry.inTimeUntil();
   }
 
@@ -132,12 +132,12 @@
     entries.keySet().removeIf(isHeldOutside);
     updateLate(now);
     for (Entry entry : inOrder(now)) {
-      LoadReply reply = plan.placeCounted(entry.need(), false, now);
+      LoadReply reply = plan.assign(entry.need(), false, now);
       if (reply instanceof LoadReply.Assigned) {
         entries.remove(entry.adapter());
-        turnover.placed(now);
+        turnover.slotAssigned(now);
         if (entry.isLate(now)) {
-          lateTurnover.placed(now);
+          lateTurnover.slotAssigned(now);
         }
       }
     }
@@ -146,10 +146,10 @@
 
   private void updateLate(long now) {
     boolean anyLate = entries.values().stream().anyMatch(entry -> entry.isLate(now));
-    if (anyLate && !lateWaited) {
-      lateTurnover.waiting(now);
+    if (anyLate && !hadLateEntries) {
+      lateTurnover.queueStarted(now);
     }
-    lateWaited = anyLate;
+    hadLateEntries = anyLate;
   }
 
   /**
@@ -163,7 +163,7 @@
       if (!entry.isLate(now)) {
         continue;
       }
-      long expectedMs = lateTurnover.expectedMs(ahead, plan.places(), now);
+      long expectedMs = lateTurnover.expectedMs(ahead, plan.slots(), now);
       if (now + expectedMs > entry.until()) {
         entries.remove(entry.adapter());
         expired.add(new Expired(entry.adapter(), expectedMs));
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/LoadTime.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/LoadTime.java
@@ -20,39 +20,39 @@
   private static final int DOUBLINGS = 11;
 
   private final Traffic traffic;
-  private final ArrivalTime[] store = new ArrivalTime[DOUBLINGS];
-  private final ArrivalTime memory = new ArrivalTime((double) FIRST_MEMORY_MS);
+  private final ArrivalTimeEstimator[] store = new ArrivalTimeEstimator[DOUBLINGS];
+  private final ArrivalTimeEstimator memory = new ArrivalTimeEstimator((double) FIRST_MEMORY_MS);
 
   /** The loads of all data centres, which share one store. */
   interface Traffic {
 
     /** Returns the number of loads in progress. */
-    int coming(long now);
+    int loadsInProgress(long now);
   }
 
   LoadTime(Traffic traffic) {
     this.traffic = traffic;
-    store[0] = new ArrivalTime((double) FIRST_STORE_MS);
+    store[0] = new ArrivalTimeEstimator((double) FIRST_STORE_MS);
   }
 
   /** Returns the number of loads in progress, including one that begins now. */
-  int underWay(long now) {
-    return traffic.coming(now) + 1;
+  int concurrentLoads(long now) {
+    return traffic.loadsInProgress(now) + 1;
   }
 
   /** Returns the estimate for a load from the store that begins now, in milliseconds. */
   long storeMs(long now) {
-    return storeMs(underWay(now));
+    return storeMs(concurrentLoads(now));
   }
 
   /** Returns the estimate for a load from the store among concurrent loads, in milliseconds. */
-  long storeMs(int underWay) {
-    return Math.round(known(doubling(underWay)).millis());
+  long storeMs(int concurrentLoads) {
+    return Math.round(known(doubling(concurrentLoads)).millis());
   }
 
   /** Returns the time after which to expect the next load from the store, in milliseconds. */
-  long nextStoreMs(int underWay) {
-    return Math.round(own(doubling(underWay)).next());
+  long nextStoreMs(int concurrentLoads) {
+    return Math.round(own(doubling(concurrentLoads)).nextMillis());
   }
 
   /** Returns the estimate for a load from an engine's own memory, in milliseconds. */
@@ -64,27 +64,27 @@
    * Returns the time after which to expect the next load from an engine's memory, in milliseconds.
    */
   long nextMemoryMs() {
-    return Math.round(memory.next());
+    return Math.round(memory.nextMillis());
   }
 
   /** Records that a load from the store had ended at an age, in milliseconds. */
-  void storeInTime(int underWay, long ageMs) {
-    own(doubling(underWay)).inTime((double) ageMs);
+  void storeArrivedBy(int concurrentLoads, long ageMs) {
+    own(doubling(concurrentLoads)).arrivedBy((double) ageMs);
   }
 
   /** Records that a load from the store had not ended at an age, in milliseconds. */
-  void storeEarly(int underWay, long ageMs) {
-    own(doubling(underWay)).early((double) ageMs);
+  void storeMissingAt(int concurrentLoads, long ageMs) {
+    own(doubling(concurrentLoads)).missingAt((double) ageMs);
   }
 
   /** Records that a load from an engine's memory had ended at an age, in milliseconds. */
-  void memoryInTime(long ageMs) {
-    memory.inTime((double) ageMs);
+  void memoryArrivedBy(long ageMs) {
+    memory.arrivedBy((double) ageMs);
   }
 
   /** Records that a load from an engine's memory had not ended at an age, in milliseconds. */
-  void memoryEarly(long ageMs) {
-    memory.early((double) ageMs);
+  void memoryMissingAt(long ageMs) {
+    memory.missingAt((double) ageMs);
   }
 
   private static int doubling(int loads) {
@@ -92,14 +92,14 @@
     return Math.min(DOUBLINGS - 1, doubling);
   }
 
-  private ArrivalTime own(int doubling) {
+  private ArrivalTimeEstimator own(int doubling) {
     if (store[doubling] == null) {
-      store[doubling] = new ArrivalTime(known(doubling).millis());
+      store[doubling] = new ArrivalTimeEstimator(known(doubling).millis());
     }
     return store[doubling];
   }
 
-  private ArrivalTime known(int doubling) {
+  private ArrivalTimeEstimator known(int doubling) {
     int seen = doubling;
     while (store[seen] == null) {
       seen--;
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/LoadTracker.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/LoadTracker.java
@@ -17,7 +17,7 @@
    * Interval between checks of a replacement, which waits for the running requests, in
    * milliseconds.
    */
-  private static final long REPLACED_AGAIN_MS = 50;
+  private static final long REPLACEMENT_CHECK_MS = 50;
 
   /** Smallest change of an expected arrival that is published, in milliseconds. */
   private static final long PUBLISH_THRESHOLD_MS = 20;
@@ -40,8 +40,8 @@
   }
 
   /** Returns the cache depth estimator for the engines of a service. */
-  AdapterCacheDepthEstimator depthOf(ServiceId service, int places) {
-    return cacheDepths.computeIfAbsent(service, any -> new AdapterCacheDepthEstimator(places));
+  AdapterCacheDepthEstimator depthOf(ServiceId service, int slots) {
+    return cacheDepths.computeIfAbsent(service, any -> new AdapterCacheDepthEstimator(slots));
   }
 
   /** Records that an engine has accepted the order for a load. */
@@ -51,28 +51,28 @@
       copy.readyAt = now + time.storeMs(now);
       return;
     }
-    boolean again = endpoint.kept.isCached(name);
-    int underWay = time.underWay(now);
-    long expectedMs = again ? time.nextMemoryMs() : time.nextStoreMs(underWay);
-    int depth = again ? endpoint.kept.depth(name) : 0;
+    boolean fromMemory = endpoint.cachedAdapters.isCached(name);
+    int concurrentLoads = time.concurrentLoads(now);
+    long expectedMs = fromMemory ? time.nextMemoryMs() : time.nextStoreMs(concurrentLoads);
+    int depth = fromMemory ? endpoint.cachedAdapters.depth(name) : 0;
     copy.readyAt = now + expectedMs;
-    copy.load = new LoadUnderWay(now, underWay, again, depth, expectedMs);
+    copy.load = new LoadInProgress(now, concurrentLoads, fromMemory, depth, expectedMs);
   }
 
   /** Handles a request that was refused because an expected adapter was not loaded yet. */
-  void early(PlannedEndpoint endpoint, PlannedEndpoint.Copy copy, long now) {
+  void refusedEarly(PlannedEndpoint endpoint, PlannedEndpoint.Copy copy, long now) {
     // Several daemons may have sent requests at the same time; only the first refusal counts.
     if (now >= copy.readyAt) {
-      copy.readyAt = now + lateByMs(endpoint, copy, now);
+      copy.readyAt = now + remainingMs(endpoint, copy, now);
     }
   }
 
-  private long lateByMs(PlannedEndpoint endpoint, PlannedEndpoint.Copy copy, long now) {
+  private long remainingMs(PlannedEndpoint endpoint, PlannedEndpoint.Copy copy, long now) {
     if (copy.state == PlannedEndpoint.State.PLANNED) {
       return time.storeMs(now);
     }
     return copy.load == null
-        ? REPLACED_AGAIN_MS
+        ? REPLACEMENT_CHECK_MS
         : copy.load.refused(time, cacheDepths.get(endpoint.entry.service()), now);
   }
 
@@ -89,8 +89,8 @@
       copy.load = null;
       return false;
     }
-    boolean onItsWay = copy.load.isFromStore() && copy.readyAt > now;
-    if (!onItsWay) {
+    boolean loading = copy.load.isFromStore() && copy.readyAt > now;
+    if (!loading) {
       return false;
     }
     long expected = now + copy.load.advance(time, now);
@@ -104,8 +104,8 @@
 
   /** Returns the current estimates, for daemons that choose among data centres. */
   LoadTimeEstimates loadTimes(long now) {
-    int reach =
+    int cacheDepth =
         cacheDepths.values().stream().mapToInt(AdapterCacheDepthEstimator::reach).max().orElse(0);
-    return new LoadTimeEstimates(time.storeMs(now), time.memoryMs(), reach);
+    return new LoadTimeEstimates(time.storeMs(now), time.memoryMs(), cacheDepth);
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/ModelLoads.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/ModelLoadLimiter.java
@@ -10,7 +10,7 @@
  * the engines of one data centre only, so it uses an equal share. Not safe for use by several
  * threads.
  */
-final class ModelLoads {
+final class ModelLoadLimiter {
 
   /**
    * Largest share of the store's rate that is used; the rest is left for lost orders that are
@@ -18,7 +18,7 @@
    */
   private static final double USED_SHARE = 0.8;
 
-  private final Deque<Long> begun = new ArrayDeque<>();
+  private final Deque<Long> startedAt = new ArrayDeque<>();
   private final long windowMs;
   private final int coordinators;
 
@@ -28,21 +28,21 @@
    * @param windowMs the window, in milliseconds
    * @param coordinators how many coordinators share the store
    */
-  ModelLoads(long windowMs, int coordinators) {
+  ModelLoadLimiter(long windowMs, int coordinators) {
     this.windowMs = windowMs;
     this.coordinators = coordinators;
   }
 
   /** Records one load if the window allows it; returns false otherwise. */
-  boolean take(double loadsPerSecond, long now) {
-    while (!begun.isEmpty() && now - begun.peek() >= windowMs) {
-      begun.poll();
+  boolean tryAcquire(double loadsPerSecond, long now) {
+    while (!startedAt.isEmpty() && now - startedAt.peek() >= windowMs) {
+      startedAt.poll();
     }
     double allowed = loadsPerSecond * windowMs / 1_000 * USED_SHARE / coordinators;
-    if (begun.size() >= Math.max(1, (int) allowed)) {
+    if (startedAt.size() >= Math.max(1, (int) allowed)) {
       return false;
     }
-    begun.add(now);
+    startedAt.add(now);
     return true;
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/LearnedTime.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/MovingAverage.java
@@ -5,30 +5,30 @@
  *
  * <p>Not safe for use by several threads.
  */
-final class LearnedTime {
+final class MovingAverage {
 
   /** Weight of a sample; about twenty samples replace the previous average. */
   private static final double WEIGHT = 0.1;
 
-  private final double least;
-  private final double most;
+  private final double min;
+  private final double max;
   private double value;
 
   /**
    * Creates an average with an initial guess.
    *
    * @param guess the value until there are samples
-   * @param least lower bound of a sample
-   * @param most upper bound of a sample
+   * @param min lower bound of a sample
+   * @param max upper bound of a sample
    */
-  LearnedTime(double guess, double least, double most) {
+  MovingAverage(double guess, double min, double max) {
     this.value = guess;
-    this.least = least;
-    this.most = most;
+    this.min = min;
+    this.max = max;
   }
 
   void sample(double sample) {
-    double bounded = Math.max(least, Math.min(most, sample));
+    double bounded = Math.max(min, Math.min(max, sample));
     value += WEIGHT * (bounded - value);
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/PlacementPlan.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/PlacementPlan.java
@@ -38,7 +38,7 @@
 final class PlacementPlan {
 
   /** Largest number of concurrent loads at one engine; the engine refuses more. */
-  static final int MAX_COMING = 4;
+  static final int MAX_LOADS_IN_PROGRESS = 4;
 
   /**
    * Time after an order until an engine's report includes it, in milliseconds; reports are a few
@@ -54,7 +54,7 @@
   private static final long MODEL_POLL_MS = 400;
 
   /** Number of times that an unanswered order is repeated before a report is requested. */
-  private static final int MAX_UNANSWERED = 3;
+  private static final int MAX_UNANSWERED_ORDERS = 3;
 
   /**
    * Largest age of an engine's entry, in milliseconds: two of its write intervals of about a
@@ -71,8 +71,8 @@
   private final DaemonUsageTable usage = new DaemonUsageTable();
   private final PlacementChanges changes = new PlacementChanges();
   private final LoadTracker loads;
-  private final SlotChooser places;
-  private final ModelLoads modelLoads;
+  private final SlotChooser slotChooser;
+  private final ModelLoadLimiter modelLoads;
 
   /**
    * Creates a plan without engines.
@@ -81,11 +81,11 @@
    * @param modelLoads limits the loads of base models
    * @param loadTime the estimates of load times
    */
-  PlacementPlan(AdapterVersions versions, ModelLoads modelLoads, LoadTime loadTime) {
+  PlacementPlan(AdapterVersions versions, ModelLoadLimiter modelLoads, LoadTime loadTime) {
     this.versions = versions;
     this.modelLoads = modelLoads;
     this.loads = new LoadTracker(loadTime);
-    this.places = new SlotChooser(versions, demand, usage, loads);
+    this.slotChooser = new SlotChooser(versions, demand, usage, loads);
   }
 
   /**
@@ -109,7 +109,7 @@
     known.entry = entry;
     known.engine = engine;
     // An entry is up to a heartbeat old, so it may precede the order to load a base model.
-    if (now >= known.modelsKnownUntil) {
+    if (now >= known.ignoreEntryModelsUntil) {
       known.models.clear();
       known.models.addAll(entry.models().stream().map(EndpointEntry.HeldModel::model).toList());
     }
@@ -117,7 +117,7 @@
   }
 
   /** Sets the prompt reading speed of an engine, in tokens per millisecond. */
-  void learned(EndpointId id, double tokensPerMs) {
+  void setReadingSpeed(EndpointId id, double tokensPerMs) {
     PlannedEndpoint endpoint = endpoints.get(id);
     if (endpoint != null) {
       endpoint.tokensPerMs = tokensPerMs;
@@ -133,7 +133,7 @@
    * Requires a report of every engine before its next order, after this daemon has become
    * coordinator.
    */
-  void forgetSync() {
+  void requireReports() {
     endpoints.values().forEach(endpoint -> endpoint.synced = false);
   }
 
@@ -157,17 +157,17 @@
     copy.lastUsed = now;
     copy.used = true;
     if (copy.load != null && use.starts() > 0) {
-      copy.load.tried();
+      copy.load.requestSent();
     }
   }
 
   /** Sets the time between two usage reports of one daemon, in milliseconds. */
-  void reportInterval(long intervalMs) {
-    places.reportInterval(intervalMs);
+  void setReportInterval(long intervalMs) {
+    slotChooser.setReportInterval(intervalMs);
   }
 
   /** Removes a daemon whose link has closed. */
-  void left(DaemonId daemon) {
+  void removeDaemon(DaemonId daemon) {
     usage.remove(daemon);
   }
 
@@ -179,37 +179,37 @@
   /** Plans a load of an adapter, unless an engine holds or loads it already. */
   LoadReply request(LoadNeed need, boolean another, long now) {
     demand.record(need.adapter(), 1, now);
-    return placeCounted(need, another, now);
+    return assign(need, another, now);
   }
 
   /** Does the same for a request that has already been counted as demand. */
-  LoadReply placeCounted(LoadNeed need, boolean another, long now) {
+  LoadReply assign(LoadNeed need, boolean another, long now) {
     AdapterName adapter = need.adapter();
     Optional<EndpointId> known =
-        another ? coming(adapter, now) : holder(adapter, need.version(), need.excluded());
+        another ? loadingEndpoint(adapter, now) : holder(adapter, need.version(), need.excluded());
     if (known.isPresent()) {
       // The request will be sent there and must not find the adapter evicted.
       endpoints.get(known.get()).copies.get(adapter).lastUsed = now;
       recordChange(known.get(), adapter, now);
       return new LoadReply.Assigned(known.get());
     }
-    return place(need, now)
+    return planAtCheapest(need, now)
         .<LoadReply>map(LoadReply.Assigned::new)
         .orElseGet(() -> new LoadReply.Rejected(RETRY_AFTER_MS));
   }
 
   /** Plans a load at the cheapest engine that can take it. */
-  private Optional<EndpointId> place(LoadNeed need, long now) {
+  private Optional<EndpointId> planAtCheapest(LoadNeed need, long now) {
     AdapterName adapter = need.adapter();
     long version = Math.max(need.version(), versions.newest(adapter));
     Optional<PlannedEndpoint> best =
         endpoints.values().stream()
             .filter(endpoint -> !need.excluded().contains(endpoint.entry.endpoint()))
-            .filter(endpoint -> places.canTake(endpoint, adapter, now))
+            .filter(endpoint -> slotChooser.canTake(endpoint, adapter, now))
             .min(
                 Comparator.comparingDouble(
-                    endpoint -> places.cost(endpoint, adapter, need.size(), now)));
-    best.ifPresent(endpoint -> plan(endpoint, adapter, version, now));
+                    endpoint -> slotChooser.cost(endpoint, adapter, need.size(), now)));
+    best.ifPresent(endpoint -> planLoad(endpoint, adapter, version, now));
     return best.map(endpoint -> endpoint.entry.endpoint());
   }
 
@@ -227,21 +227,21 @@
         .findFirst();
   }
 
-  private Optional<EndpointId> coming(AdapterName adapter, long now) {
+  private Optional<EndpointId> loadingEndpoint(AdapterName adapter, long now) {
     return endpoints.values().stream()
-        .filter(endpoint -> endpoint.isComing(adapter, now))
+        .filter(endpoint -> endpoint.isLoading(adapter, now))
         .map(endpoint -> endpoint.entry.endpoint())
         .findFirst();
   }
 
-  private void plan(PlannedEndpoint endpoint, AdapterName adapter, long version, long now) {
+  private void planLoad(PlannedEndpoint endpoint, AdapterName adapter, long version, long now) {
     EndpointId id = endpoint.entry.endpoint();
     if (!SlotChooser.hasFreeSlot(endpoint) && !endpoint.copies.containsKey(adapter)) {
-      AdapterName victim = places.victim(endpoint, now).orElseThrow();
-      endpoint.steps.add(leave(endpoint, victim));
+      AdapterName victim = slotChooser.victim(endpoint, now).orElseThrow();
+      endpoint.steps.add(planUnload(endpoint, victim));
     }
     boolean replaces = endpoint.copies.containsKey(adapter);
-    long takesMs = loads.plannedMs(!replaces && endpoint.kept.isCached(adapter), now);
+    long takesMs = loads.plannedMs(!replaces && endpoint.cachedAdapters.isCached(adapter), now);
     PlannedEndpoint.Copy copy =
         new PlannedEndpoint.Copy(version, PlannedEndpoint.State.PLANNED, now + takesMs, now);
     copy.replaces = replaces;
@@ -250,7 +250,7 @@
     recordChange(id, adapter, now);
   }
 
-  private PlannedEndpoint.Step leave(PlannedEndpoint endpoint, AdapterName victim) {
+  private PlannedEndpoint.Step planUnload(PlannedEndpoint endpoint, AdapterName victim) {
     endpoint.copies.get(victim).state = PlannedEndpoint.State.LEAVING;
     changes.recordRemoved(endpoint.entry.endpoint(), victim);
     return step(EndpointOrder.Type.UNLOAD, victim, OptionalLong.empty());
@@ -262,17 +262,17 @@
   }
 
   /** Removes an adapter from the cache models, since the cached versions are outdated. */
-  void outdated(AdapterName adapter) {
-    endpoints.values().forEach(endpoint -> endpoint.kept.lost(adapter));
+  void removeFromCaches(AdapterName adapter) {
+    endpoints.values().forEach(endpoint -> endpoint.cachedAdapters.remove(adapter));
   }
 
   /**
    * Restores the cache model of an engine for a new coordinator; the most recent adapter comes
    * last.
    */
-  void recall(EndpointId id, List<AdapterName> recentAdapters) {
+  void restoreCache(EndpointId id, List<AdapterName> recentAdapters) {
     PlannedEndpoint endpoint = endpoints.get(id);
-    recentAdapters.forEach(endpoint.kept::held);
+    recentAdapters.forEach(endpoint.cachedAdapters::held);
   }
 
   /** Replaces the copies of a requested adapter by its new version, one after the other. */
@@ -287,9 +287,9 @@
               && copy.state == PlannedEndpoint.State.HELD
               && copy.version < version
               && endpoint.synced
-              && endpoint.coming(now) < MAX_COMING;
-      if (replaceable && coming(adapter, now).isEmpty()) {
-        plan(endpoint, adapter, version, now);
+              && endpoint.loadsInProgress(now) < MAX_LOADS_IN_PROGRESS;
+      if (replaceable && loadingEndpoint(adapter, now).isEmpty()) {
+        planLoad(endpoint, adapter, version, now);
       }
     }
   }
@@ -315,7 +315,7 @@
       boolean due =
           endpoint.synced
               ? endpoint.hasUnloading() && now >= endpoint.unloadReportAt
-              : !endpoint.ordering && now >= endpoint.quietUntil;
+              : !endpoint.ordering && now >= endpoint.noOrdersUntil;
       if (due && !endpoint.reportPending) {
         endpoint.reportPending = true;
         endpoint.unloadReportPending = endpoint.synced;
@@ -338,7 +338,8 @@
       return;
     }
     if (report.isEmpty() || report.get().busy() || endpoint.isOlderThanModel(report.get(), now)) {
-      endpoint.quietUntil = now + (endpoint.modelsKnownUntil > now ? MODEL_POLL_MS : REPORT_LAG_MS);
+      endpoint.noOrdersUntil =
+          now + (endpoint.ignoreEntryModelsUntil > now ? MODEL_POLL_MS : REPORT_LAG_MS);
       return;
     }
     Set<AdapterName> before = new HashSet<>(endpoint.copies.keySet());
@@ -355,7 +356,7 @@
    */
   Optional<EndpointOrder> nextOrder(EndpointId id, DaemonId holder, long epoch, long now) {
     PlannedEndpoint endpoint = endpoints.get(id);
-    if (endpoint == null || endpoint.ordering || !endpoint.synced || now < endpoint.quietUntil) {
+    if (endpoint == null || endpoint.ordering || !endpoint.synced || now < endpoint.noOrdersUntil) {
       return Optional.empty();
     }
     if (endpoint.steps.isEmpty() && endpoint.models.isEmpty() && !endpoint.entry.leaving()) {
@@ -401,14 +402,14 @@
   private PlannedEndpoint.Step nextStep(PlannedEndpoint endpoint, long now) {
     PlannedEndpoint.Step step = endpoint.steps.peek();
     while (step != null && endpoint.lacksSlot(step)) {
-      Optional<AdapterName> victim = places.victim(endpoint, now);
+      Optional<AdapterName> victim = slotChooser.victim(endpoint, now);
       if (victim.isPresent()) {
-        endpoint.steps.addFirst(leave(endpoint, victim.get()));
+        endpoint.steps.addFirst(planUnload(endpoint, victim.get()));
       } else {
         endpoint.steps.poll();
-        AdapterName givenUp = step.name().orElseThrow();
-        endpoint.copies.remove(givenUp);
-        changes.recordRemoved(endpoint.entry.endpoint(), givenUp);
+        AdapterName dropped = step.name().orElseThrow();
+        endpoint.copies.remove(dropped);
+        changes.recordRemoved(endpoint.entry.endpoint(), dropped);
       }
       step = endpoint.steps.peek();
     }
@@ -421,7 +422,7 @@
         endpoint.engine.models().stream()
             .filter(spec -> spec.weightsMb() <= endpoint.engine.weightsMb())
             .min(Comparator.comparingLong(spec -> holders(spec.model())));
-    return missing.filter(spec -> modelLoads.take(endpoint.engine.loadsPerSecond(), now));
+    return missing.filter(spec -> modelLoads.tryAcquire(endpoint.engine.loadsPerSecond(), now));
   }
 
   private long holders(ModelId model) {
@@ -435,22 +436,22 @@
       return;
     }
     endpoint.ordering = false;
-    if (result == OrderResult.UNKNOWN && endpoint.unanswered < MAX_UNANSWERED) {
+    if (result == OrderResult.UNKNOWN && endpoint.unansweredOrders < MAX_UNANSWERED_ORDERS) {
       // The repeated order has the same sequence number, so the engine refuses one of the two.
-      endpoint.unanswered++;
+      endpoint.unansweredOrders++;
       endpoint.copies.forEach((name, copy) -> postpone(endpoint, name, copy, now));
       return;
     }
-    endpoint.unanswered = 0;
+    endpoint.unansweredOrders = 0;
     PlannedEndpoint.Step step = endpoint.steps.poll();
     if (step == null) {
       return;
     }
     if (result == OrderResult.ACCEPTED || result == OrderResult.DONE) {
       endpoint.sequence++;
-      carriedOut(endpoint, step, result, now);
+      applyAccepted(endpoint, step, result, now);
     } else {
-      failed(endpoint, result, now);
+      orderFailed(endpoint, result, now);
     }
   }
 
@@ -463,13 +464,13 @@
     }
   }
 
-  private void carriedOut(
+  private void applyAccepted(
       PlannedEndpoint endpoint, PlannedEndpoint.Step step, OrderResult result, long now) {
     if (step.name().isEmpty()) {
       long takesMs = endpoint.engine.model(step.model()).map(ModelSpec::loadMs).orElse(1_000L);
       endpoint.synced = false;
-      endpoint.quietUntil = now + MODEL_POLL_MS;
-      endpoint.modelsKnownUntil = now + takesMs + REPORT_LAG_MS + ENTRY_LAG_MS;
+      endpoint.noOrdersUntil = now + MODEL_POLL_MS;
+      endpoint.ignoreEntryModelsUntil = now + takesMs + REPORT_LAG_MS + ENTRY_LAG_MS;
       endpoint.reportedEmpty = false;
       return;
     }
@@ -495,7 +496,7 @@
     if (result == OrderResult.ACCEPTED) {
       loads.begin(endpoint, name, copy, now);
     }
-    endpoint.kept.held(name);
+    endpoint.cachedAdapters.held(name);
     recordChange(id, name, now);
   }
 
@@ -504,7 +505,7 @@
    * gets no orders until a report shows them. Planned loads are dropped, and daemons that still
    * need them request them again.
    */
-  private void failed(PlannedEndpoint endpoint, OrderResult result, long now) {
+  private void orderFailed(PlannedEndpoint endpoint, OrderResult result, long now) {
     EndpointId id = endpoint.entry.endpoint();
     endpoint.steps.clear();
     List<AdapterName> lost = new ArrayList<>();
@@ -523,7 +524,7 @@
 
   private static void resync(PlannedEndpoint endpoint, long now) {
     endpoint.synced = false;
-    endpoint.quietUntil = now + REPORT_LAG_MS;
+    endpoint.noOrdersUntil = now + REPORT_LAG_MS;
   }
 
   /** Handles a refused request for an adapter that the engine was assumed to hold. */
@@ -534,7 +535,7 @@
       return;
     }
     if (early) {
-      loads.early(endpoint, copy, now);
+      loads.refusedEarly(endpoint, copy, now);
       recordChange(id, adapter, now);
     } else if (copy.state != PlannedEndpoint.State.PLANNED) {
       resync(endpoint, now);
@@ -551,7 +552,7 @@
                     recordChange(id, name, now);
                   }
                 }));
-    demand.forgetIdle(now);
+    demand.removeIdle(now);
   }
 
   /** Returns the estimates of load times, for daemons that choose among data centres. */
@@ -560,7 +561,7 @@
   }
 
   /** Returns the number of adapter slots of all engines that take orders. */
-  int places() {
+  int slots() {
     return endpoints.values().stream()
         .filter(endpoint -> endpoint.synced)
         .mapToInt(endpoint -> endpoint.engine.adapterSlots())
@@ -568,7 +569,7 @@
   }
 
   /** Returns the engines for which an order may be due. */
-  List<EndpointId> ids() {
+  List<EndpointId> endpoints() {
     return List.copyOf(endpoints.keySet());
   }
 
@@ -586,7 +587,7 @@
   }
 
   /** Returns the contents of all engines. */
-  List<Placement> whole(long now) {
+  List<Placement> snapshot(long now) {
     return PlacementChanges.snapshot(endpoints, now);
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/PlacementUpdateBatch.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/PlacementUpdateBatch.java
@@ -15,9 +15,9 @@
  */
 final class PlacementUpdateBatch {
 
-  private final Map<Place, Pending> pending = new LinkedHashMap<>();
+  private final Map<Key, Pending> pending = new LinkedHashMap<>();
 
-  private record Place(EndpointId endpoint, AdapterName adapter) {}
+  private record Key(EndpointId endpoint, AdapterName adapter) {}
 
   private record Pending(Placement placement, long at) {}
 
@@ -26,7 +26,7 @@
     changes.forEach(
         placement ->
             pending.put(
-                new Place(placement.endpoint(), placement.adapter()), new Pending(placement, now)));
+                new Key(placement.endpoint(), placement.adapter()), new Pending(placement, now)));
   }
 
   /** Returns and clears the batch, with arrival times relative to now. */
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/PlannedEndpoint.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/PlannedEndpoint.java
@@ -22,7 +22,7 @@
   EndpointEntry entry;
   EngineSpec engine;
   final Map<AdapterName, Copy> copies = new HashMap<>();
-  final AdapterCacheModel kept;
+  final AdapterCacheModel cachedAdapters;
   final Set<ModelId> models = new HashSet<>();
   final Deque<Step> steps = new ArrayDeque<>();
   long sequence;
@@ -35,15 +35,15 @@
   boolean unloadReportPending;
   long unloadReportAt;
   boolean ordering;
-  int unanswered;
-  long quietUntil;
-  long modelsKnownUntil;
+  int unansweredOrders;
+  long noOrdersUntil;
+  long ignoreEntryModelsUntil;
   boolean reportedEmpty;
 
   PlannedEndpoint(EndpointEntry entry, EngineSpec engine, AdapterCacheDepthEstimator depth) {
     this.entry = entry;
     this.engine = engine;
-    this.kept = new AdapterCacheModel(depth::reach);
+    this.cachedAdapters = new AdapterCacheModel(depth::reach);
   }
 
   /** State of a copy. */
@@ -72,7 +72,7 @@
     boolean used;
 
     /** The load whose outcome is not known yet; null if there is none. */
-    LoadUnderWay load;
+    LoadInProgress load;
 
     Copy(long version, State state, long readyAt, long lastUsed) {
       this.version = version;
@@ -99,7 +99,7 @@
   }
 
   /** Replaces the record by the engine's own report and drops all planned orders. */
-  void adopt(EndpointReport report, long now, long comingMs) {
+  void adopt(EndpointReport report, long now, long loadMs) {
     Map<AdapterName, Copy> before = new HashMap<>(copies);
     copies.clear();
     models.clear();
@@ -113,7 +113,7 @@
                       (adapter, version) ->
                           hold(new AdapterName(held.model(), adapter), version, now, before));
             });
-    report.coming().forEach((name, version) -> hold(name, version, now + comingMs, before));
+    report.coming().forEach((name, version) -> hold(name, version, now + loadMs, before));
     sequence = report.sequence();
     steps.clear();
     synced = true;
@@ -130,7 +130,7 @@
       copy.unloadSequence = known.unloadSequence;
     }
     copies.put(name, copy);
-    kept.held(name);
+    cachedAdapters.held(name);
   }
 
   /** Replaces the record by the engine's list entry, until its own report arrives. */
@@ -140,12 +140,12 @@
   }
 
   /** Returns the number of occupied slots, including those of adapters that are being unloaded. */
-  int taken() {
-    int taken = 0;
+  int occupiedSlots() {
+    int count = 0;
     for (Copy copy : copies.values()) {
-      taken += copy.state != State.PLANNED || copy.replaces ? 1 : 0;
+      count += copy.state != State.PLANNED || copy.replaces ? 1 : 0;
     }
-    return taken;
+    return count;
   }
 
   /** Returns whether an unload that the engine accepted is not known to be complete. */
@@ -173,14 +173,14 @@
                     && !held.contains(copy.getKey()));
   }
 
-  int coming(long now) {
-    int coming = 0;
+  int loadsInProgress(long now) {
+    int count = 0;
     for (Copy copy : copies.values()) {
       if (copy.state == State.PLANNED || copy.readyAt > now) {
-        coming++;
+        count++;
       }
     }
-    return coming;
+    return count;
   }
 
   /** Returns whether it holds or is to load an adapter that is not being unloaded. */
@@ -190,7 +190,7 @@
   }
 
   /** Returns whether an adapter is planned or loading. */
-  boolean isComing(AdapterName adapter, long now) {
+  boolean isLoading(AdapterName adapter, long now) {
     Copy copy = copies.get(adapter);
     return copy != null
         && copy.state != State.LEAVING
@@ -204,7 +204,7 @@
     }
     Copy copy = copies.get(step.name().get());
     boolean needsSlot = copy != null && !copy.replaces;
-    return needsSlot && taken() >= engine.adapterSlots();
+    return needsSlot && occupiedSlots() >= engine.adapterSlots();
   }
 
   /**
@@ -212,6 +212,6 @@
    * empty engine, which would be ordered to load a second model and crash.
    */
   boolean isOlderThanModel(EndpointReport report, long now) {
-    return now < modelsKnownUntil && report.sequence() < sequence;
+    return now < ignoreEntryModelsUntil && report.sequence() < sequence;
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/PrefixCacheModel.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/PrefixCacheModel.java
@@ -28,14 +28,14 @@
 
   /** Returns how many leading tokens of a prompt are likely to be cached. */
   long cachedTokens(Generation generation) {
-    long kept = 0;
+    long cached = 0;
     for (Generation.PromptPart part : generation.parts()) {
       if (!parts.containsKey(new Key(generation.adapter(), part.id()))) {
         break;
       }
-      kept += part.tokens();
+      cached += part.tokens();
     }
-    return kept;
+    return cached;
   }
 
   /** Records that a prompt was sent. */
@@ -53,7 +53,7 @@
   }
 
   /** Removes the parts of an adapter that was unloaded. */
-  void forget(AdapterName adapter) {
+  void removeAdapter(AdapterName adapter) {
     parts
         .entrySet()
         .removeIf(
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/SharedRetryBudget.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/SharedRetryBudget.java
@@ -24,7 +24,7 @@
   private static final int UNKNOWN_DAEMONS = 8;
 
   private final Deque<Long> requests = new ArrayDeque<>();
-  private final Deque<Long> repeats = new ArrayDeque<>();
+  private final Deque<Long> retries = new ArrayDeque<>();
   private final double ratio;
   private final double slack;
   private final long windowMs;
@@ -62,7 +62,7 @@
     if (!allows(now)) {
       return false;
     }
-    repeats.add(now);
+    retries.add(now);
     return true;
   }
 
@@ -73,10 +73,10 @@
    */
   public synchronized boolean allows(long now) {
     expire(requests, now);
-    expire(repeats, now);
+    expire(retries, now);
     int sharing = Math.max(1, daemons.getAsInt() > 0 ? daemons.getAsInt() : UNKNOWN_DAEMONS);
     double allowed = USED_SHARE * (ratio * requests.size() + slack / sharing);
-    return repeats.size() + 1 <= allowed;
+    return retries.size() + 1 <= allowed;
   }
 
   private void expire(Deque<Long> times, long now) {
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/Signals.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/Signals.java
@@ -34,7 +34,7 @@
           .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance(RELOAD), proxy);
     } catch (ReflectiveOperationException e) {
-      throw new IllegalStateException("this virtual machine has no handlers of signals", e);
+      throw new IllegalStateException("this JVM does not support signal handlers", e);
     }
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/SlotChooser.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/SlotChooser.java
@@ -23,10 +23,10 @@
   private static final long FIRST_USE_REPORTS = 2;
 
   /** Cost of each load in progress at the same engine, in milliseconds. */
-  private static final double COMING_COST_MS = 60;
+  private static final double LOAD_IN_PROGRESS_COST_MS = 60;
 
   /** Cost of evicting an adapter with a demand of one request, in milliseconds. */
-  private static final double VICTIM_COST_MS = 25;
+  private static final double EVICTION_COST_MS = 25;
 
   /**
    * Cost of a load from the store rather than from an engine's own memory in addition to its time,
@@ -54,7 +54,7 @@
         endpoint.synced
             && !endpoint.entry.leaving()
             && endpoint.models.contains(adapter.model())
-            && endpoint.coming(now) < PlacementPlan.MAX_COMING;
+            && endpoint.loadsInProgress(now) < PlacementPlan.MAX_LOADS_IN_PROGRESS;
     if (!able) {
       return false;
     }
@@ -73,15 +73,17 @@
 
   /** Returns the cost of a load and its request at an engine, in milliseconds. */
   double cost(PlannedEndpoint endpoint, AdapterName adapter, RequestSize size, long now) {
-    double victimMs =
+    double evictionMs =
         hasFreeSlot(endpoint)
             ? 0
-            : victim(endpoint, now).map(name -> VICTIM_COST_MS * demand.of(name, now)).orElse(0.0);
+            : victim(endpoint, now)
+                .map(name -> EVICTION_COST_MS * demand.of(name, now))
+                .orElse(0.0);
     Load load = usage.load(endpoint.entry.endpoint());
     return EngineCost.ms(load, size.promptTokens(), size.outputTokens(), endpoint.tokensPerMs)
-        + endpoint.coming(now) * COMING_COST_MS
-        + victimMs
-        + (endpoint.kept.isCached(adapter) ? 0 : loads.storeMs(now) + TRANSFER_COST_MS);
+        + endpoint.loadsInProgress(now) * LOAD_IN_PROGRESS_COST_MS
+        + evictionMs
+        + (endpoint.cachedAdapters.isCached(adapter) ? 0 : loads.storeMs(now) + TRANSFER_COST_MS);
   }
 
   /** Returns the adapter to evict: an outdated one, otherwise the one with the least demand. */
@@ -101,7 +103,7 @@
   }
 
   /** Sets the time between two usage reports of one daemon, in milliseconds. */
-  void reportInterval(long intervalMs) {
+  void setReportInterval(long intervalMs) {
     reportIntervalMs = intervalMs;
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/SlotTurnoverEstimator.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/SlotTurnoverEstimator.java
@@ -4,8 +4,9 @@
  * Estimates when the next queued load gets an adapter slot, from how often slots become free.
  *
  * <pre>{@code
- * turnover.waiting(now);              // a load is queued while the queue was empty
- * turnover.placed(now);               // a queued load got a slot.expectedMs(3, 85, now);    // behind three others, at engines of 85 slots
+ * turnover.queueStarted(now);         // a load is queued while the queue was empty
+ * turnover.slotAssigned(now);         // a queued load got a slot
+ * turnover.expectedMs(3, 85, now);    // behind three others, at engines of 85 slots
  * }</pre>
  *
  * <p>Not safe for use by several threads.
@@ -15,28 +16,28 @@
   /**
    * Initial estimate of the time that an adapter occupies a slot, in milliseconds: one response.
    */
-  private static final double FIRST_HELD_MS = 1_500;
+  private static final double FIRST_OCCUPIED_MS = 1_500;
 
   /** Bounds of the time between two free slots, in milliseconds. */
-  private static final double SHORTEST_MS = 1;
+  private static final double MIN_MS = 1;
 
-  private static final double LONGEST_MS = 5_000;
+  private static final double MAX_MS = 5_000;
 
-  private LearnedTime between;
+  private MovingAverage intervalMs;
   private long since;
 
   /** Records that the first load is queued. */
-  void waiting(long now) {
+  void queueStarted(long now) {
     since = now;
   }
 
   /** Records that a queued load got a slot. */
-  void placed(long now) {
+  void slotAssigned(long now) {
     double sample = (double) (now - since);
-    if (between == null) {
-      between = new LearnedTime(sample, SHORTEST_MS, LONGEST_MS);
+    if (intervalMs == null) {
+      intervalMs = new MovingAverage(sample, MIN_MS, MAX_MS);
     }
-    between.sample(sample);
+    intervalMs.sample(sample);
     since = now;
   }
 
@@ -44,11 +45,12 @@
    * Returns the expected wait of a new load, in milliseconds.
    *
    * @param ahead number of queued loads before it
-   * @param places number of slots of all engines
+   * @param slots number of slots of all engines
    * @param now the time, in milliseconds
    */
-  long expectedMs(int ahead, int places, long now) {
-    double eachMs = between == null ? FIRST_HELD_MS / Math.max(1, places) : between.value();
+  long expectedMs(int ahead, int slots, long now) {
+    double eachMs =
+        intervalMs == null ? FIRST_OCCUPIED_MS / Math.max(1, slots) : intervalMs.value();
     // While no slot becomes free, for example after engines have crashed, the average is too low.
     double stalledMs = ahead == 0 ? 0 : now - since;
     return (long) (Math.max(eachMs, stalledMs) * (1 + ahead));
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/StoreFeed.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/StoreFeed.java
@@ -59,21 +59,21 @@
     /**
      * Returns a listener for objects that are never removed.
      *
-     * @param taker receives each object that is listed or has changed
+     * @param consumer receives each object that is listed or has changed
      * @param <T> the type of the values
      */
-    static <T> Listener<T> ofEach(Consumer<Stored<T>> taker) {
+    static <T> Listener<T> ofEach(Consumer<Stored<T>> consumer) {
       return new Listener<>() {
         @Override
         public boolean replaced(StoreList<T> list, boolean afterOutage) {
-          list.items().forEach(taker);
+          list.items().forEach(consumer);
           return true;
         }
 
         @Override
         public boolean changed(StoreChanges.Change<T> change, long revision, boolean afterOutage) {
           if (!change.removed()) {
-            taker.accept(change.object());
+            consumer.accept(change.object());
           }
           return true;
         }
@@ -139,7 +139,7 @@
   private final DecisionLog log;
   private long revision;
   private volatile View view = new View(0, NEVER, false);
-  private boolean resting;
+  private boolean paused;
   private long failingSince = NEVER;
   private long retryMs = RETRY_MS;
 
@@ -180,13 +180,13 @@
     if (listener.replaced(list, afterOutage)) {
       recordChange(newestRevision(list));
     }
-    goOn();
+    watchOrPause();
   }
 
   /** Watches for changes, or pauses while coordinators do so. */
-  private void goOn() {
+  private void watchOrPause() {
     if (relay.isFresh(clock.millis())) {
-      resting = true;
+      paused = true;
     } else {
       watch();
     }
@@ -196,9 +196,9 @@
    * Ends a pause when there is a newer revision or too few current coordinators; called several
    * times a second.
    */
-  synchronized void look() {
-    if (resting && (relay.revision() > revision || !relay.isFresh(clock.millis()))) {
-      resting = false;
+  synchronized void checkRelay() {
+    if (paused && (relay.revision() > revision || !relay.isFresh(clock.millis()))) {
+      paused = false;
       list();
     }
   }
@@ -241,14 +241,14 @@
       }
     }
     if (changes.changes().isEmpty()) {
-      goOn();
+      watchOrPause();
     } else {
-      loop.schedule(this::goOnLater, timing.get().pauseMs(), TimeUnit.MILLISECONDS);
+      loop.schedule(this::resume, timing.get().pauseMs(), TimeUnit.MILLISECONDS);
     }
   }
 
-  private synchronized void goOnLater() {
-    goOn();
+  private synchronized void resume() {
+    watchOrPause();
   }
 
   private static long newestRevision(StoreList<?> list) {
@@ -279,7 +279,7 @@
     return afterOutage;
   }
 
-  private void retry(Throwable failure, Runnable again) {
+  private void retry(Throwable failure, Runnable call) {
     if (failingSince == NEVER) {
       view = new View(view.changedRevision(), view.answeredAt(), true);
       failingSince = clock.millis();
@@ -289,7 +289,7 @@
           .with("message", String.valueOf(failure.getMessage()))
           .write();
     }
-    loop.schedule(again, retryMs, TimeUnit.MILLISECONDS);
+    loop.schedule(call, retryMs, TimeUnit.MILLISECONDS);
     retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/StoreFreshness.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/StoreFreshness.java
@@ -99,9 +99,9 @@
    * rely on them. Only those of data centres whose names precede its own count, so the first ones
    * always watch, and no two coordinators pause because of each other.
    */
-  synchronized boolean areFreshBefore(DataCentreId coordinators, Topic topic, long now) {
+  synchronized boolean areFreshForCoordinator(DataCentreId dataCentre, Topic topic, long now) {
     return reports.entrySet().stream()
-            .filter(one -> one.getKey().compareTo(coordinators) < 0)
+            .filter(one -> one.getKey().compareTo(dataCentre) < 0)
             .filter(one -> one.getValue().isFresh(topic, now))
             .count()
         >= MIN_COORDINATORS;
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/AdapterCacheDepthEstimatorTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/AdapterCacheDepthEstimatorTest.java
@@ -15,44 +15,44 @@
  */
 class AdapterCacheDepthEstimatorTest {
 
-  private static final int PLACES = 8;
+  private static final int SLOTS = 8;
 
   /** An engine's cache and the coordinator's model of it. */
   private static final class Memory {
 
     private final int size;
-    private final Set<Integer> kept = new LinkedHashSet<>();
-    private final AdapterCacheModel believed;
+    private final Set<Integer> cached = new LinkedHashSet<>();
+    private final AdapterCacheModel model;
     private final AdapterCacheDepthEstimator depth;
     private int refused;
     private int missed;
 
     Memory(int size) {
       this.size = size;
-      this.depth = new AdapterCacheDepthEstimator(PLACES);
-      this.believed = new AdapterCacheModel(depth::reach);
+      this.depth = new AdapterCacheDepthEstimator(SLOTS);
+      this.model = new AdapterCacheModel(depth::reach);
     }
 
     void load(int number) {
-      boolean there = kept.remove(number);
-      boolean expected = believed.isCached(adapter(number));
-      if (expected && there) {
-        depth.kept(believed.depth(adapter(number)));
+      boolean wasCached = cached.remove(number);
+      boolean expected = model.isCached(adapter(number));
+      if (expected && wasCached) {
+        depth.cached(model.depth(adapter(number)));
       } else if (expected) {
-        depth.notCached(believed.depth(adapter(number)));
+        depth.notCached(model.depth(adapter(number)));
         refused++;
-      } else if (there) {
+      } else if (wasCached) {
         missed++;
       }
-      kept.add(number);
-      if (kept.size() > size) {
-        kept.remove(kept.iterator().next());
+      cached.add(number);
+      if (cached.size() > size) {
+        cached.remove(cached.iterator().next());
       }
-      believed.held(adapter(number));
+      model.held(adapter(number));
     }
   }
 
-  private static Memory played(int size) {
+  private static Memory simulate(int size) {
     Memory memory = new Memory(size);
     Random random = new Random(7);
     for (int i = 0; i < 3_000; i++) {
@@ -67,8 +67,8 @@
   }
 
   @Test
-  void largeMemoryIsFound() {
-    Memory memory = played(120);
+  void largeCacheIsDetected() {
+    Memory memory = simulate(120);
 
     assertThat(memory.depth.reach()).isBetween(100, 135);
     assertThat(memory.missed).isLessThan(30);
@@ -76,23 +76,23 @@
   }
 
   @Test
-  void smallMemoryIsFound() {
-    Memory memory = played(9);
+  void smallCacheIsDetected() {
+    Memory memory = simulate(9);
 
     assertThat(memory.depth.reach()).isBetween(7, 13);
     assertThat(memory.refused).isLessThan(30);
   }
 
   @Test
-  void depthCountsWhatWasHeldSince() {
-    AdapterCacheModel kept = new AdapterCacheModel(() -> 10);
+  void depthCountsAdaptersHeldSince() {
+    AdapterCacheModel cached = new AdapterCacheModel(() -> 10);
     for (int i = 1; i <= 4; i++) {
-      kept.held(adapter(i));
+      cached.held(adapter(i));
     }
-    kept.held(adapter(2));
+    cached.held(adapter(2));
 
-    assertThat(kept.depth(adapter(2))).isZero();
-    assertThat(kept.depth(adapter(3))).isEqualTo(2);
-    assertThat(kept.depth(adapter(1))).isEqualTo(3);
+    assertThat(cached.depth(adapter(2))).isZero();
+    assertThat(cached.depth(adapter(3))).isEqualTo(2);
+    assertThat(cached.depth(adapter(1))).isEqualTo(3);
   }
 }
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/CoordinatorElectionTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/CoordinatorElectionTest.java
@@ -45,7 +45,7 @@
   class FirstStart {
 
     @Test
-    void takesALeaseThatDoesNotExist() {
+    void acquiresALeaseThatDoesNotExist() {
       acquire(0);
 
       assertThat(election.isHolding()).isTrue();
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void loserOfTheRaceFollows() {
+    void loserOfTheRaceDoesNotHoldTheLease() {
       election.next(0, false);
       election.read(Optional.empty(), 0);
       election.next(1, false);
@@ -63,7 +63,7 @@
       election.written(new WriteResult.Conflict<>(stored(5, lease("north-2", "p2", 1, 0))), 2);
 
       assertThat(election.isHolding()).isFalse();
-      assertThat(election.next(10, false)).isEqualTo(Step.REST);
+      assertThat(election.next(10, false)).isEqualTo(Step.NONE);
     }
   }
 
@@ -76,13 +76,13 @@
   class LostHolder {
 
     @Test
-    void isReplacedAfterItsLeaseStayedUnchanged() {
+    void isReplacedAfterItsLeaseWasUnchanged() {
       election.next(0, false);
       election.read(stored(7, lease("north-2", "p2", 3, 4)), 0);
       for (long now = 400; now < CoordinatorElection.TAKE_AFTER_MS; now += 400) {
         assertThat(election.next(now, false)).isEqualTo(Step.READ);
         election.read(stored(7, lease("north-2", "p2", 3, 4)), now);
-        assertThat(election.next(now + 1, false)).isEqualTo(Step.REST);
+        assertThat(election.next(now + 1, false)).isEqualTo(Step.NONE);
       }
       long later = CoordinatorElection.TAKE_AFTER_MS + 100;
 
@@ -97,20 +97,20 @@
       for (long now = 0; now < 10_000; now += 400) {
         election.next(now, false);
         election.read(stored(7 + now, lease("north-2", "p2", 3, now)), now);
-        assertThat(election.next(now + 1, false)).isEqualTo(Step.REST);
+        assertThat(election.next(now + 1, false)).isEqualTo(Step.NONE);
       }
     }
 
     @Test
-    void isNotReplacedWhileItIsHeard() {
+    void isNotReplacedWhileItIsLinked() {
       election.next(0, false);
       election.read(stored(7, lease("north-2", "p2", 3, 4)), 0);
 
-      assertThat(election.next(60_000, true)).isEqualTo(Step.REST);
+      assertThat(election.next(60_000, true)).isEqualTo(Step.NONE);
     }
 
     @Test
-    void isReplacedAtOnceByItsOwnNextProcess() {
+    void isReplacedImmediatelyByItsNextProcess() {
       election.next(0, false);
       election.read(stored(7, lease("north-1", "former", 3, 4)), 0);
 
@@ -124,10 +124,10 @@
    * again, finds its own process name there, and stays the holder under the same epoch.
    */
   @Nested
-  class LostAnswer {
+  class LostResponse {
 
     @Test
-    void ofTheFirstWriteIsFoundByReading() {
+    void toTheFirstWriteIsResolvedByARead() {
       election.next(0, false);
       election.read(Optional.empty(), 0);
       election.next(1, false);
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void ofARenewalIsFoundByTheConflict() {
+    void toARenewalIsResolvedByTheConflict() {
       acquire(0);
       assertThat(election.next(1_001, false)).isEqualTo(Step.WRITE);
       election.written(new WriteResult.Unknown<>(), 1_100);
@@ -161,7 +161,7 @@
    * holders.
    */
   @Nested
-  class HolderWithoutContact {
+  class HolderCutOffFromTheStore {
 
     @Test
     void ordersOnlyFencedEndpoints() {
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void stopsOnceAnEndpointHasSeenAHigherEpoch() {
+    void stopsWhenAnEndpointHasReceivedAHigherEpoch() {
       acquire(0);
       election.superseded();
 
@@ -186,9 +186,9 @@
   class PlannedStop {
 
     @Test
-    void givesTheLeaseUpAndTakesNoOther() {
+    void releasesTheLeaseAndAcquiresNoOther() {
       acquire(0);
-      election.giveUp();
+      election.release();
       assertThat(election.mayOrder(3, FENCED)).isFalse();
       assertThat(election.next(3, true)).isEqualTo(Step.WRITE);
       assertThat(election.proposal().released()).isTrue();
@@ -196,7 +196,7 @@
       election.written(new WriteResult.Written<>(6), 4);
 
       assertThat(election.isHolding()).isFalse();
-      assertThat(election.next(5_000, false)).isEqualTo(Step.REST);
+      assertThat(election.next(5_000, false)).isEqualTo(Step.NONE);
     }
 
     @Test
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/DaemonUsageTableTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/DaemonUsageTableTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void loseWhatADisconnectedDaemonUsed() {
+    void excludeADisconnectedDaemon() {
       table.update(FIRST, List.of(usage(ENGINE, 2, 1)));
       table.update(SECOND, List.of(usage(ENGINE, 3, 1)));
       table.remove(FIRST);
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/DecisionLogTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/DecisionLogTest.java
@@ -46,10 +46,10 @@
    * is full. Lines must be dropped and counted, and no writer may wait.
    */
   @Nested
-  class ReaderThatStopsReading {
+  class StalledReader {
 
     @Test
-    void costsLinesAndHoldsUpNobody() throws InterruptedException {
+    void dropsLinesAndBlocksNoWriter() throws InterruptedException {
       CountDownLatch released = new CountDownLatch(1);
       OutputStream stuck =
           new OutputStream() {
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/DrainScheduleTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/DrainScheduleTest.java
@@ -11,23 +11,23 @@
   private static final DrainSchedule STOP = new DrainSchedule(SIGNAL + 2_600, SIGNAL + 7_550);
 
   @Test
-  void allIsTakenWhileTheLoadBalancerStillSends() {
-    assertThat(STOP.takes(15_000, SIGNAL + 2_500)).isTrue();
+  void requestsAreAcceptedWhileTheLoadBalancerSendsThem() {
+    assertThat(STOP.accepts(15_000, SIGNAL + 2_500)).isTrue();
   }
 
   @Test
-  void streamThatWouldBeCutIsRefused() {
-    assertThat(STOP.takes(15_000, SIGNAL + 5_000)).isFalse();
+  void streamThatWouldBeTruncatedIsRefused() {
+    assertThat(STOP.accepts(15_000, SIGNAL + 5_000)).isFalse();
   }
 
   @Test
-  void shortCallThatEndsBeforeTheProcessIsTaken() {
-    assertThat(STOP.takes(800, SIGNAL + 5_000)).isTrue();
-    assertThat(STOP.takes(800, SIGNAL + 7_000)).isFalse();
+  void shortCallThatEndsBeforeTheProcessIsAccepted() {
+    assertThat(STOP.accepts(800, SIGNAL + 5_000)).isTrue();
+    assertThat(STOP.accepts(800, SIGNAL + 7_000)).isFalse();
   }
 
   @Test
-  void withoutAStopAllIsTaken() {
-    assertThat(DrainSchedule.NEVER.takes(15_000, Long.MAX_VALUE - 20_000)).isTrue();
+  void requestsAreAcceptedWithoutAStop() {
+    assertThat(DrainSchedule.NEVER.accepts(15_000, Long.MAX_VALUE - 20_000)).isTrue();
   }
 }
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/EndpointChooserTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/EndpointChooserTest.java
@@ -27,7 +27,7 @@
   private static final long LOAD_MS = 250;
   private static final long MEMORY_MS = 30;
   private static final int NOT_THERE = -1;
-  private static final long PATIENT_MS = 6_000;
+  private static final long REMAINING_MS = 6_000;
 
   private final EndpointChooser chooser = new EndpointChooser();
 
@@ -35,11 +35,11 @@
     return engine(name, dataCentre, false);
   }
 
-  private static Candidate keeper(String name, DataCentreId dataCentre) {
+  private static Candidate cachingEngine(String name, DataCentreId dataCentre) {
     return engine(name, dataCentre, true);
   }
 
-  private static Candidate engine(String name, DataCentreId dataCentre, boolean keeps) {
+  private static Candidate engine(String name, DataCentreId dataCentre, boolean caches) {
     return new Candidate(
         new EndpointId(name),
         dataCentre,
@@ -49,19 +49,19 @@
         200_000,
         0,
         NOT_THERE,
-        keeps,
+        caches,
         1,
-        keeps ? MEMORY_MS : LOAD_MS);
+        caches ? MEMORY_MS : LOAD_MS);
   }
 
   private Choice choose(
-      List<Candidate> candidates, Map<DataCentreId, Long> turns, DataCentreId... loadable) {
+      List<Candidate> candidates, Map<DataCentreId, Long> queueWaitsMs, DataCentreId... loadable) {
     return chooser.forGeneration(
         candidates,
         GENERATION,
         TOKENS_PER_MS,
-        PATIENT_MS,
-        new EndpointChooser.Loadable(List.of(loadable), turns));
+        REMAINING_MS,
+        new EndpointChooser.Loadable(List.of(loadable), queueWaitsMs));
   }
 
   private static Choice.RequestLoad load(Choice choice) {
@@ -82,7 +82,7 @@
         List.of(engine("e1", NORTH), engine("e2", NORTH), engine("e3", SOUTH));
 
     @Test
-    void isNotHeldOutFor() {
+    void isNotWaitedFor() {
       Choice.RequestLoad load =
           load(choose(candidates, Map.of(NORTH, 200L, SOUTH, 90L), NORTH, SOUTH, EMPTY));
 
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void onlyEmptyOnesRefuse() {
+    void aloneCausesARefusal() {
       assertThat(choose(candidates, Map.of(), EMPTY)).isInstanceOf(Choice.Refuse.class);
     }
   }
@@ -102,13 +102,13 @@
    * quarter of a second, and its transfer delays all other loads.
    */
   @Nested
-  class KeeperWithoutAPlace {
+  class CachingEngineWithoutAFreeSlot {
 
-    private static final Candidate KEEPER = keeper("e3", SOUTH);
-    private final List<Candidate> candidates = List.of(engine("e1", NORTH), KEEPER);
+    private static final Candidate CACHING_ENGINE = cachingEngine("e3", SOUTH);
+    private final List<Candidate> candidates = List.of(engine("e1", NORTH), CACHING_ENGINE);
 
     @Test
-    void isWaitedForIfItsTurnComesSoon() {
+    void isAwaitedIfASlotBecomesFreeSoon() {
       Choice.RequestLoad load = load(choose(candidates, Map.of(SOUTH, 60L), NORTH, SOUTH));
 
       assertThat(load.dataCentre()).isEqualTo(SOUTH);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void isNotWaitedForIfItTakesLonger() {
+    void isNotAwaitedIfItTakesLonger() {
       Choice.RequestLoad load = load(choose(candidates, Map.of(SOUTH, 900L), NORTH, SOUTH));
 
       assertThat(load.dataCentre()).isEqualTo(NORTH);
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/EndpointDirectoryTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/EndpointDirectoryTest.java
@@ -42,7 +42,7 @@
     return new Stored<>("e1", revision, Optional.of(entry(leaving)), "");
   }
 
-  private static LinkMessage.Endpoints told(boolean leaving, long revision) {
+  private static LinkMessage.Endpoints update(boolean leaving, long revision) {
     return new LinkMessage.Endpoints(
         false,
         revision,
@@ -50,7 +50,7 @@
         List.of());
   }
 
-  private static LinkMessage.Endpoints toldGone(long revision) {
+  private static LinkMessage.Endpoints removal(long revision) {
     return new LinkMessage.Endpoints(
         false, revision, List.of(), List.of(new LinkMessage.GoneEndpoint(ENDPOINT, revision, 0)));
   }
@@ -60,10 +60,10 @@
   }
 
   @Nested
-  class News {
+  class ReportedChange {
 
     @Test
-    void heartbeatIsNone() {
+    void isFalseForHeartbeats() {
       assertThat(directory.replaced(new StoreList<>(5, List.of(stored(false, 4))), false)).isTrue();
       assertThat(directory.changed(new StoreChanges.Change<>(stored(false, 9), false), 9, false))
           .isFalse();
@@ -78,10 +78,10 @@
    * endpoint, its capacity would stay unused until the next heartbeat.
    */
   @Nested
-  class LapsedAndBack {
+  class ExpiredAndRewrittenEntry {
 
     @Test
-    void endpointIsUsedOn() {
+    void endpointStaysInUse() {
       directory.replaced(new StoreList<>(5, List.of(stored(false, 4))), false);
       directory.changed(new StoreChanges.Change<>(stored(false, 4), true), 20, false);
       directory.changed(new StoreChanges.Change<>(stored(false, 15), false), 20, false);
@@ -90,9 +90,9 @@
     }
 
     @Test
-    void endpointIsUsedOnAsACoordinatorTellsIt() {
-      directory.relayed(told(false, 4));
-      directory.relayed(
+    void endpointStaysInUseIfACoordinatorRelaysTheChanges() {
+      directory.applyUpdate(update(false, 4));
+      directory.applyUpdate(
           new LinkMessage.Endpoints(
               false,
               20,
@@ -109,36 +109,36 @@
    * an endpoint that is leaving or removed, and they would be cut off.
    */
   @Nested
-  class CrossedWays {
+  class OutOfOrderUpdates {
 
     @Test
     void olderEntryChangesNothing() {
-      directory.relayed(told(true, 20));
-      directory.relayed(told(false, 15));
+      directory.applyUpdate(update(true, 20));
+      directory.applyUpdate(update(false, 15));
 
       assertThat(serving()).isEmpty();
     }
 
     @Test
-    void entryFromBeforeTheEndChangesNothing() {
-      directory.relayed(told(false, 20));
-      directory.relayed(toldGone(30));
-      directory.relayed(told(false, 25));
+    void entryOlderThanTheRemovalChangesNothing() {
+      directory.applyUpdate(update(false, 20));
+      directory.applyUpdate(removal(30));
+      directory.applyUpdate(update(false, 25));
 
       assertThat(serving()).isEmpty();
     }
 
     @Test
-    void endOfAnEarlierEntryLeavesTheNewerOne() {
-      directory.relayed(told(false, 40));
-      directory.relayed(toldGone(30));
+    void removalOfAnOlderEntryKeepsTheNewerOne() {
+      directory.applyUpdate(update(false, 40));
+      directory.applyUpdate(removal(30));
 
       assertThat(serving()).hasSize(1);
     }
 
     @Test
-    void listOfTheStoreLeavesWhatACoordinatorToldSince() {
-      directory.relayed(told(false, 40));
+    void olderListOfTheStoreKeepsANewerRelayedEntry() {
+      directory.applyUpdate(update(false, 40));
       directory.replaced(new StoreList<>(35, List.of()), false);
       assertThat(serving()).hasSize(1);
 
@@ -147,9 +147,9 @@
     }
 
     @Test
-    void wholeListOfACoordinatorEndsWhatItDoesNotName() {
-      directory.relayed(told(false, 20));
-      directory.relayed(new LinkMessage.Endpoints(true, 30, List.of(), List.of()));
+    void completeListOfACoordinatorRemovesMissingEntries() {
+      directory.applyUpdate(update(false, 20));
+      directory.applyUpdate(new LinkMessage.Endpoints(true, 30, List.of(), List.of()));
 
       assertThat(serving()).isEmpty();
     }
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/EndpointGroupTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/EndpointGroupTest.java
@@ -104,12 +104,12 @@
     }
 
     @Test
-    void getsLess() {
+    void getsFewerRequests() {
       assertThat(sentTo(choose(demand(600, 70), 4_200))).isEqualTo("e2");
     }
 
     @Test
-    void isTriedAgainOnceItMayHaveRecovered() {
+    void isTriedAgainAfterAWhile() {
       assertThat(sentTo(choose(demand(600, 70), 40_000))).isEqualTo("e1");
     }
   }
@@ -119,7 +119,7 @@
   class IdleAdapter {
 
     @Test
-    void isToldOnceItsLastRequestHasEnded() {
+    void isReportedWhenItsLastRequestEnds() {
       hold("e1", 0);
       EndpointGroup.Ticket first = group.begin(id("e1"), demand(100, 10), 10).orElseThrow();
       EndpointGroup.Ticket second = group.begin(id("e1"), demand(100, 10), 20).orElseThrow();
@@ -136,19 +136,19 @@
   class Choosing {
 
     @Test
-    void holderInAnotherDataCentreIsBetterThanALoad() {
+    void holderInAnotherDataCentreIsPreferredToALoad() {
       hold("e2", 0);
 
       assertThat(sentTo(choose(demand(800, 200), 10))).isEqualTo("e2");
     }
 
     @Test
-    void adapterThatIsNowhereIsLoaded() {
+    void missingAdapterIsLoaded() {
       assertThat(choose(demand(800, 200), 10)).isInstanceOf(Choice.RequestLoad.class);
     }
 
     @Test
-    void adapterOnItsWayIsWaitedFor() {
+    void loadingAdapterIsAwaited() {
       hold("e1", 200);
 
       assertThat(choose(demand(800, 200), 10))
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void leavingEndpointGetsNothing() {
+    void leavingEndpointGetsNoRequests() {
       hold("e1", 0);
       group.put(entry("e1", NORTH, true), true, 0);
 
@@ -165,9 +165,9 @@
     }
 
     @Test
-    void withoutEndpointsTheRequestIsRefusedAtOnce() {
-      group.goneAt(id("e1"), 0);
-      group.goneAt(id("e2"), 0);
+    void requestWithoutEndpointsIsRefused() {
+      group.retireAt(id("e1"), 0);
+      group.retireAt(id("e2"), 0);
 
       assertThat(choose(demand(800, 200), 10))
           .isInstanceOfSatisfying(
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void backlogBeyondTheDeadlineIsRefusedAtOnce() {
+    void backlogBeyondTheDeadlineIsRefused() {
       hold("e1", 0);
       hold("e2", 0);
       group.setOthers(id("e1"), new Load(60, 2_000_000, 0, 0));
@@ -191,10 +191,10 @@
 
   /** Guards against long prompts that delay every response generated at the same engine. */
   @Nested
-  class TwoKindsOfWork {
+  class MixedWorkload {
 
     @BeforeEach
-    void oneEngineReadsAndOneAnswers() {
+    void loadOneEngineWithPromptsAndOneWithResponses() {
       hold("e1", 0);
       hold("e2", 0);
       group.setOthers(id("e1"), new Load(2, 0, 0, 60_000));
@@ -202,12 +202,12 @@
     }
 
     @Test
-    void longAnswerGoesWhereLittleIsRead() {
+    void longResponseAvoidsTheEngineThatReadsPrompts() {
       assertThat(sentTo(choose(demand(800, 360), 10))).isEqualTo("e2");
     }
 
     @Test
-    void longPromptGoesWhereLittleIsAnswered() {
+    void longPromptAvoidsTheEngineThatGeneratesResponses() {
       assertThat(sentTo(choose(demand(9_190, 50), 10))).isEqualTo("e1");
     }
   }
@@ -217,7 +217,7 @@
   class LateAdapter {
 
     @Test
-    void isWaitedForAtTheSameEngine() {
+    void isAwaitedAtTheSameEngine() {
       hold("e1", 100);
 
       assertThat(group.postpone(id("e1"), ADAPTER, 120, 180)).isTrue();
@@ -227,7 +227,7 @@
     }
 
     @Test
-    void isAbsentIfItShouldHaveBeenThereForLong() {
+    void isAbsentIfItIsLongOverdue() {
       hold("e1", 100);
 
       assertThat(group.postpone(id("e1"), ADAPTER, 5_000, 5_060)).isFalse();
@@ -240,7 +240,7 @@
   class NewVersion {
 
     @Test
-    void oldCopyServesForAWhileAndThenNoMore() {
+    void outdatedCopyServesUntilTheGracePeriodEnds() {
       hold("e1", 0);
       versions.announce(ADAPTER, 2, 1_000);
 
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void isAskedOfTheEngineOnceOldCopiesMayNotServe() {
+    void isRequiredOfTheEngineAfterTheGracePeriod() {
       hold("e1", 0);
       versions.announce(ADAPTER, 2, 1_000);
       Demand demand = demand(800, 200);
@@ -264,7 +264,7 @@
   class Counting {
 
     @Test
-    void loadIsThereFromSendingToEnd() {
+    void loadCountsFromSendingToEnd() {
       Demand demand = demand(800, 200);
       EndpointGroup.Ticket ticket = group.begin(id("e1"), demand, 10).orElseThrow();
       List<EndpointUsage> during = group.takeUsage(NORTH, 11);
@@ -280,7 +280,7 @@
     }
 
     @Test
-    void newProcessUnderAKnownNameHoldsNothing() {
+    void newProcessUnderAKnownNameIsEmpty() {
       hold("e1", 0);
       EndpointEntry again =
           new EndpointEntry(
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/EndpointStallDetectorTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/EndpointStallDetectorTest.java
@@ -8,13 +8,13 @@
 
   private final EndpointStallDetector stalls = new EndpointStallDetector();
 
-  private void streams(int count, long now) {
+  private void startStreams(int count, long now) {
     for (int i = 0; i < count; i++) {
       stalls.streamStarted(now);
     }
   }
 
-  private long wordsEach(long pauseMs, int times, long from) {
+  private long eventsEvery(long pauseMs, int times, long from) {
     for (int i = 1; i <= times; i++) {
       stalls.progress(from + i * pauseMs);
     }
@@ -22,32 +22,32 @@
   }
 
   @Test
-  void silenceToSeveralStreamsShowsWithinHalfASecond() {
-    streams(3, 0);
-    long last = wordsEach(40, 50, 0);
+  void stallOfSeveralStreamsIsDetectedWithinHalfASecond() {
+    startStreams(3, 0);
+    long last = eventsEvery(40, 50, 0);
 
     assertThat(stalls.isStalled(last + 390)).isFalse();
     assertThat(stalls.isStalled(last + 500)).isTrue();
   }
 
   @Test
-  void oneStreamAloneProvesNothing() {
-    streams(1, 0);
+  void singleStreamIsNoEvidence() {
+    startStreams(1, 0);
 
     assertThat(stalls.isStalled(5_000)).isFalse();
   }
 
   @Test
-  void engineThatIsAlwaysSlowIsNotTakenForDark() {
-    streams(2, 0);
-    long last = wordsEach(300, 50, 0);
+  void slowEngineIsNotStalled() {
+    startStreams(2, 0);
+    long last = eventsEvery(300, 50, 0);
 
     assertThat(stalls.isStalled(last + 1_500)).isFalse();
   }
 
   @Test
-  void endedStreamsAreNotMissed() {
-    streams(2, 0);
+  void endedStreamsDoNotCount() {
+    startStreams(2, 0);
     stalls.streamEnded();
 
     assertThat(stalls.isStalled(1_000)).isFalse();
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/FreezeDetectorTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/FreezeDetectorTest.java
@@ -12,34 +12,34 @@
   private final FreezeDetector detector = new FreezeDetector(() -> monotonicMs, () -> wallMs);
 
   @Test
-  void aMonotonicClockThatStoodStillIsNoticedOnceAndSuspectUntilTheLeaseIsRenewed() {
+  void stoppedMonotonicClockIsReportedOnceAndSuspectUntilTheLeaseIsRenewed() {
     wallMs += 3_000;
-    assertThat(detector.noticed()).isTrue();
+    assertThat(detector.checkDrift()).isTrue();
     assertThat(detector.isSuspect()).isTrue();
-    pass(100);
-    assertThat(detector.noticed()).isFalse();
+    advance(100);
+    assertThat(detector.checkDrift()).isFalse();
     assertThat(detector.isSuspect()).isTrue();
-    detector.trust();
+    detector.leaseRenewed();
     assertThat(detector.isSuspect()).isFalse();
   }
 
   @Test
-  void aWallClockThatIsSetBackCountsToo() {
+  void wallClockThatIsSetBackIsReported() {
     wallMs -= 3_000;
-    assertThat(detector.noticed()).isTrue();
+    assertThat(detector.checkDrift()).isTrue();
   }
 
   // Both clocks advance while a thread is late. Taken for a suspension, each busy second would
   // delay orders that callers wait for.
   @Test
-  void timeThatPassesOnBothClocksIsNoFreeze() {
-    pass(10_000);
+  void timeOnBothClocksIsNoSuspension() {
+    advance(10_000);
     wallMs += 300;
-    assertThat(detector.noticed()).isFalse();
+    assertThat(detector.checkDrift()).isFalse();
     assertThat(detector.isSuspect()).isFalse();
   }
 
-  private void pass(long ms) {
+  private void advance(long ms) {
     monotonicMs += ms;
     wallMs += ms;
   }
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/LoadQueueTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/LoadQueueTest.java
@@ -2,8 +2,8 @@
 
 import static io.sequoiapass.gateway.process.PlanFixtures.ENGINE;
 import static io.sequoiapass.gateway.process.PlanFixtures.adapter;
-import static io.sequoiapass.gateway.process.PlanFixtures.calmStore;
 import static io.sequoiapass.gateway.process.PlanFixtures.entry;
+import static io.sequoiapass.gateway.process.PlanFixtures.idleStore;
 import static io.sequoiapass.gateway.process.PlanFixtures.need;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -30,12 +30,12 @@
 class LoadQueueTest {
 
   private static final DaemonId DAEMON = new DaemonId("north-1");
-  private static final int PLACES = 2;
-  private static final EngineSpec SPEC = PlanFixtures.engineOf(PLACES);
+  private static final int SLOTS = 2;
+  private static final EngineSpec SPEC = PlanFixtures.engineOf(SLOTS);
 
   private final PlacementPlan plan =
       new PlacementPlan(
-          new AdapterVersions(2_500), new ModelLoads(5_000, 1), new LoadTime(calmStore()));
+          new AdapterVersions(2_500), new ModelLoadLimiter(5_000, 1), new LoadTime(idleStore()));
   private final Set<AdapterName> elsewhere = new HashSet<>();
   private final LoadQueue queue = new LoadQueue(plan, elsewhere::contains);
 
@@ -44,24 +44,24 @@
   }
 
   @BeforeEach
-  void placesAreInUse() {
+  void occupyAllSlots() {
     EndpointEntry entry = PlanFixtures.entry(1, true);
     plan.observe(entry, SPEC, 0);
     EndpointReport report = new EndpointReport(entry.models(), Map.of(), false, 0);
     plan.dueForReport(0).forEach(e -> plan.reported(e.endpoint(), Optional.of(report), 0));
-    for (int i = 1; i <= PLACES; i++) {
+    for (int i = 1; i <= SLOTS; i++) {
       assertThat(plan.request(need(i), false, 0)).isInstanceOf(LoadReply.Assigned.class);
     }
-    carryOutAll(0);
+    executeAll(0);
     use(1_000, 1, 2);
     plan.drainChanges();
   }
 
-  private void carryOutAll(long now) {
-    carryOutAll(plan, now);
+  private void executeAll(long now) {
+    executeAll(plan, now);
   }
 
-  private static void carryOutAll(PlacementPlan of, long now) {
+  private static void executeAll(PlacementPlan of, long now) {
     Optional<EndpointOrder> order = of.nextOrder(ENGINE, DAEMON, 7, now);
     while (order.isPresent()) {
       boolean unload = order.get().type() == EndpointOrder.Type.UNLOAD;
@@ -86,10 +86,10 @@
   }
 
   @Nested
-  class Turns {
+  class Order {
 
     @Test
-    void placeThatBecomesFreeIsGivenAtOnce() {
+    void freeSlotIsAssignedImmediately() {
       assertThat(queue.loadOrEnqueue(entry(9, 1_500, 3_000), 1_100))
           .isInstanceOf(LoadReply.Queued.class);
       queue.dispatch(1_200);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void whoCanStillBeInTimeGoesFirst() {
+    void entryThatIsStillInTimeComesFirst() {
       queue.loadOrEnqueue(entry(7, 1_200, 4_000), 1_100);
       queue.loadOrEnqueue(entry(8, 1_900, 4_000), 1_110);
       queue.loadOrEnqueue(entry(9, 1_800, 4_000), 1_120);
@@ -115,7 +115,7 @@
 
     /** Guards against a slot reserved for an adapter that another data centre loads. */
     @Test
-    void adapterThatCameElsewhereTakesNoPlace() {
+    void adapterHeldElsewhereGetsNoSlot() {
       queue.loadOrEnqueue(entry(7, 1_500, 4_000), 1_100);
       queue.loadOrEnqueue(entry(8, 1_900, 4_000), 1_110);
       elsewhere.add(adapter(7));
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void twoRequestsForOneAdapterTakeOnePlace() {
+    void twoRequestsForOneAdapterGetOneSlot() {
       queue.loadOrEnqueue(entry(9, 1_500, 3_000), 1_100);
       queue.loadOrEnqueue(entry(9, 1_600, 3_500), 1_110);
       use(1_300);
@@ -137,14 +137,14 @@
     }
 
     @Test
-    void waitingDoesNotMakeAnAdapterLookBusy() {
+    void waitingDoesNotCountAsDemand() {
       queue.loadOrEnqueue(entry(9, 1_500, 3_000), 1_100);
       for (long now = 1_100; now < 1_500; now += 10) {
         queue.dispatch(now);
       }
       use(1_500, 1);
       queue.dispatch(1_750);
-      carryOutAll(1_750);
+      executeAll(1_750);
       use(1_800);
       // One of the two is evicted: 1 was requested twice, 9 once, however long it was queued.
       plan.request(need(1), false, 1_900);
@@ -162,18 +162,19 @@
   class Refusal {
 
     @Test
-    void whoWouldWaitInVainIsRefusedAtOnce() {
+    void entryThatCannotBeServedIsRejectedImmediately() {
       for (int i = 10; i < 13; i++) {
         queue.loadOrEnqueue(entry(i, 1_500, 4_000), 1_100);
       }
 
       assertThat(queue.loadOrEnqueue(entry(20, 1_500, 2_000), 1_200))
           .isInstanceOfSatisfying(
-              LoadReply.Rejected.class, told -> assertThat(told.retryAfterMs()).isEqualTo(3_000));
+              LoadReply.Rejected.class,
+              rejected -> assertThat(rejected.retryAfterMs()).isEqualTo(3_000));
     }
 
     @Test
-    void whoJoinsOneThatWaitsIsNotRefused() {
+    void entryForAQueuedAdapterIsNotRejected() {
       queue.loadOrEnqueue(entry(9, 1_500, 3_000), 1_100);
       queue.loadOrEnqueue(entry(10, 1_500, 4_000), 1_100);
 
@@ -186,7 +187,7 @@
      * as after a crash of engines. They are refused as soon as their expected wait is too long.
      */
     @Test
-    void whoseTurnWouldComeTooLateIsToldBeforeItsTimeIsOver() {
+    void lateEntryIsRemovedBeforeItsDeadline() {
       queue.loadOrEnqueue(entry(9, 1_300, 4_000), 1_100);
       queue.loadOrEnqueue(entry(10, 1_300, 4_100), 1_100);
       assertThat(queue.dispatch(1_400)).isEmpty();
@@ -199,7 +200,7 @@
 
     /** A long queue of late entries must not delay a caller that can still be served in time. */
     @Test
-    void lateOnesAreNotBeforeThoseInTime() {
+    void lateEntriesDoNotDelayEntriesInTime() {
       queue.loadOrEnqueue(entry(9, 1_150, 6_000), 1_100);
       queue.loadOrEnqueue(entry(10, 1_150, 6_000), 1_100);
       queue.loadOrEnqueue(entry(11, 1_150, 6_000), 1_100);
@@ -209,7 +210,7 @@
     }
 
     @Test
-    void wishWhoseTimeIsOverTakesNoPlace() {
+    void expiredEntryGetsNoSlot() {
       queue.loadOrEnqueue(entry(9, 1_500, 1_700), 1_100);
       use(1_300, 1);
       queue.dispatch(1_800);
@@ -233,7 +234,7 @@
 
     private final PlacementPlan large =
         new PlacementPlan(
-            new AdapterVersions(2_500), new ModelLoads(5_000, 1), new LoadTime(calmStore()));
+            new AdapterVersions(2_500), new ModelLoadLimiter(5_000, 1), new LoadTime(idleStore()));
     private final LoadQueue queue = new LoadQueue(large, name -> false);
 
     private void uses(int from, long now) {
@@ -245,20 +246,20 @@
     }
 
     @BeforeEach
-    void allPlacesAreInUse() {
+    void occupyAllSlots() {
       EndpointEntry entry = PlanFixtures.entry(1, true);
       large.observe(entry, PlanFixtures.engineOf(LARGE), 0);
       EndpointReport report = new EndpointReport(entry.models(), Map.of(), false, 0);
       large.dueForReport(0).forEach(e -> large.reported(e.endpoint(), Optional.of(report), 0));
       for (int number = 1; number <= LARGE; number++) {
         large.request(need(number), false, number * 500L);
-        carryOutAll(large, number * 500L);
+        executeAll(large, number * 500L);
       }
       uses(1, 10_000);
     }
 
     @Test
-    void allTurnsThatComeInTimeAreWaitedFor() {
+    void entriesThatCanBeServedInTimeAreQueued() {
       for (int caller = 0; caller < CALLERS; caller++) {
         LoadQueue.Entry entry = entry(100 + caller, 10_600, 11_100);
         assertThat(queue.loadOrEnqueue(entry, 10_050)).isInstanceOf(LoadReply.Queued.class);
@@ -267,7 +268,7 @@
         long now = 10_050 + ended * EACH_MS;
         uses(1 + ended, now);
         queue.dispatch(now);
-        carryOutAll(large, now);
+        executeAll(large, now);
       }
       queue.dispatch(11_080);
 
@@ -280,7 +281,7 @@
    * every 400 ms, 14 of 60 callers start in time; with a queue, 47 do.
    */
   @Nested
-  class HeavyDay {
+  class HeavyLoad {
 
     private static final long STREAM_MS = 600;
     private static final long EACH_MS = 300;
@@ -288,14 +289,14 @@
     private static final int CALLERS = 60;
 
     @Test
-    void moreBeginInTimeThanByAskingAgain() {
-      int queued = play(true);
-      int retried = new LoadQueueTest().fresh().play(false);
+    void queueServesMoreInTimeThanRetries() {
+      int queued = simulate(true);
+      int retried = new LoadQueueTest().fresh().simulate(false);
 
       assertThat(queued).isGreaterThan(2 * retried);
     }
 
-    int play(boolean enqueues) {
+    int simulate(boolean enqueues) {
       List<long[]> running = new ArrayList<>();
       List<long[]> pending = new ArrayList<>();
       int inTime = 0;
@@ -313,7 +314,7 @@
             send(one, enqueues, now);
           }
         }
-        carryOutAll(now);
+        executeAll(now);
         for (AdapterName name : placed()) {
           long number = Long.parseLong(name.adapter().value().substring(1));
           for (long[] one : List.copyOf(pending)) {
@@ -339,8 +340,8 @@
     }
   }
 
-  private HeavyDay fresh() {
-    placesAreInUse();
-    return new HeavyDay();
+  private HeavyLoad fresh() {
+    occupyAllSlots();
+    return new HeavyLoad();
   }
 }
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/LoadRouterTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/LoadRouterTest.java
@@ -2,7 +2,7 @@
 
 import static io.sequoiapass.gateway.process.PlanFixtures.ENGINE;
 import static io.sequoiapass.gateway.process.PlanFixtures.adapter;
-import static io.sequoiapass.gateway.process.PlanFixtures.calmStore;
+import static io.sequoiapass.gateway.process.PlanFixtures.idleStore;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sequoiapass.coordination.EndpointId;
@@ -29,7 +29,7 @@
   private static final class DataCentre {
     private final PlacementPlan plan =
         new PlacementPlan(
-            new AdapterVersions(2_500), new ModelLoads(5_000, 1), new LoadTime(calmStore()));
+            new AdapterVersions(2_500), new ModelLoadLimiter(5_000, 1), new LoadTime(idleStore()));
     private final LoadQueue queue = new LoadQueue(plan, name -> false);
     private int loads;
 
@@ -75,7 +75,7 @@
   class CopyInAnotherDataCentre {
 
     @Test
-    void redirectsADaemonThatDoesNotKnowOfIt() {
+    void redirectsADaemonWithoutARecordOfIt() {
       assertThat(routeWithRemoteCopy(request(1, false, false)))
           .isEqualTo(new LoadReply.HeldElsewhere(remote));
     }
@@ -143,7 +143,7 @@
   @Nested
   class ConcurrentRequests {
 
-    private static final int ADAPTERS = PlacementPlan.MAX_COMING;
+    private static final int ADAPTERS = PlacementPlan.MAX_LOADS_IN_PROGRESS;
 
     @BeforeEach
     void requestEachAdapterAtBoth() {
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/LoadTimeTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/LoadTimeTest.java
@@ -24,10 +24,10 @@
     private long waitedMs;
 
     private static final class Load {
-      private LoadUnderWay load;
+      private LoadInProgress load;
       private long expectedAt;
       private double shareLeft = 1;
-      private long thereAt;
+      private long arrivedAt;
       private boolean served;
     }
 
@@ -37,52 +37,52 @@
     }
 
     @Override
-    public int coming(long now) {
+    public int loadsInProgress(long now) {
       return (int) loads.stream().filter(load -> load.expectedAt > now).count();
     }
 
     void begin(LoadTime time, long now) {
       Load load = new Load();
-      int underWay = time.underWay(now);
-      long expectedMs = time.nextStoreMs(underWay);
-      load.load = new LoadUnderWay(now, underWay, false, 0, expectedMs);
+      int concurrentLoads = time.concurrentLoads(now);
+      long expectedMs = time.nextStoreMs(concurrentLoads);
+      load.load = new LoadInProgress(now, concurrentLoads, false, 0, expectedMs);
       load.expectedAt = now + expectedMs;
       loads.add(load);
     }
 
     /** Advances the simulation by one millisecond. */
-    void pass(LoadTime time, long now) {
-      long running = loads.stream().filter(load -> load.thereAt == 0).count();
+    void advance(LoadTime time, long now) {
+      long running = loads.stream().filter(load -> load.arrivedAt == 0).count();
       double stretch = Math.max(1, (double) running / width);
       for (Load load : loads) {
-        if (load.thereAt == 0) {
+        if (load.arrivedAt == 0) {
           load.shareLeft -= 1 / (aloneMs * stretch);
-          load.thereAt = load.shareLeft <= 0 ? now : 0;
+          load.arrivedAt = load.shareLeft <= 0 ? now : 0;
         }
         if (now % 150 == 0 && load.expectedAt > now) {
           load.expectedAt = now + load.load.advance(time, now);
         }
         if (!load.served && load.expectedAt <= now) {
-          ask(load, time, now);
+          sendRequest(load, time, now);
         }
       }
       loads.removeIf(load -> load.load.settle(time, depth, load.expectedAt, now));
     }
 
-    private void ask(Load load, LoadTime time, long now) {
-      if (load.thereAt == 0) {
+    private void sendRequest(Load load, LoadTime time, long now) {
+      if (load.arrivedAt == 0) {
         refused++;
         load.expectedAt = now + load.load.refused(time, depth, now);
         return;
       }
-      load.load.tried();
+      load.load.requestSent();
       load.served = true;
       served++;
-      waitedMs += now - load.thereAt;
+      waitedMs += now - load.arrivedAt;
     }
 
     /** Starts a load every {@code eachMs} milliseconds. */
-    void play(LoadTime time, long from, long until, long eachMs) {
+    void simulate(LoadTime time, long from, long until, long eachMs) {
       refused = 0;
       served = 0;
       waitedMs = 0;
@@ -90,7 +90,7 @@
         if (now % eachMs == 0) {
           begin(time, now);
         }
-        pass(time, now);
+        advance(time, now);
       }
     }
   }
@@ -99,8 +99,8 @@
     Store store = new Store(aloneMs, width);
     LoadTime time = new LoadTime(store);
 
-    store.play(time, 0, 8_000, eachMs);
-    store.play(time, 8_000, 16_000, eachMs);
+    store.simulate(time, 0, 8_000, eachMs);
+    store.simulate(time, 8_000, 16_000, eachMs);
 
     assertThat((double) store.refused / store.served).as("refused").isLessThan(0.15);
     assertThat((double) store.waitedMs / store.served)
@@ -112,26 +112,26 @@
   class WrongGuess {
 
     @Test
-    void storeThatIsFourTimesAsFastIsLearned() {
+    void fourTimesFasterStoreIsLearned() {
       assertLearned(64, 8, 100);
     }
 
     @Test
-    void storeThatIsFourTimesAsSlowIsLearned() {
+    void fourTimesSlowerStoreIsLearned() {
       assertLearned(1_020, 64, 100);
     }
 
     @Test
-    void wideStoreIsNotTakenForNarrow() {
+    void storeWithManyFastLoadsIsLearned() {
       assertLearned(250, 100, 20);
     }
 
     @Test
-    void narrowStoreIsNotTakenForWide() {
+    void storeWithFewFastLoadsDoesNotSlowDownSingleLoads() {
       Store store = new Store(250, 4);
       LoadTime time = new LoadTime(store);
 
-      store.play(time, 0, 10_000, 70);
+      store.simulate(time, 0, 10_000, 70);
 
       assertThat(time.storeMs(1)).isLessThan(400);
     }
@@ -141,13 +141,13 @@
   void changeIsFollowed() {
     Store store = new Store(250, 8);
     LoadTime time = new LoadTime(store);
-    store.play(time, 0, 5_000, 100);
+    store.simulate(time, 0, 5_000, 100);
     long before = time.storeMs(3);
     for (int i = 0; i < 4; i++) {
-      time.storeEarly(3, 500);
+      time.storeMissingAt(3, 500);
     }
     long slow = time.storeMs(3);
-    store.play(time, 5_000, 13_000, 100);
+    store.simulate(time, 5_000, 13_000, 100);
 
     assertThat(before).isBetween(245L, 290L);
     assertThat(slow).isGreaterThanOrEqualTo(400);
@@ -160,7 +160,7 @@
    * each third request is sent too early.
    */
   @Test
-  void expectedTimeStaysBoundedWhileRequestsComeEarly() {
+  void estimateStaysBoundedWhileRequestsAreEarly() {
     Store store = new Store(250, 8);
     LoadTime time = new LoadTime(store);
     long longest = 0;
@@ -168,11 +168,11 @@
       long takesMs = time.storeMs(now);
       store.begin(time, now);
       longest = Math.max(longest, takesMs);
-      int beside = time.underWay(now);
+      int concurrentLoads = time.concurrentLoads(now);
       if (now % 108 == 0) {
-        time.storeEarly(beside, takesMs);
+        time.storeMissingAt(concurrentLoads, takesMs);
       } else {
-        time.storeInTime(beside, takesMs);
+        time.storeArrivedBy(concurrentLoads, takesMs);
       }
     }
 
@@ -180,10 +180,10 @@
   }
 
   @Test
-  void memoryIsLearnedApartFromTheStore() {
+  void memoryEstimateIsIndependentOfTheStore() {
     LoadTime time = new LoadTime(now -> 0);
-    time.memoryEarly(60);
-    time.memoryEarly(60);
+    time.memoryMissingAt(60);
+    time.memoryMissingAt(60);
 
     assertThat(time.memoryMs()).isBetween(45L, 70L);
     assertThat(time.storeMs(1)).isEqualTo(255);
@@ -196,28 +196,28 @@
     private static final double TRUE_MS = 250;
     private static final int ITEMS = 4_000;
 
-    private int earlyOf(ArrivalTime time, double trueMs) {
+    private int earlyOf(ArrivalTimeEstimator time, double trueMs) {
       int early = 0;
       for (int item = 0; item < ITEMS; item++) {
-        double expectedMs = time.next();
+        double expectedMs = time.nextMillis();
         if (expectedMs < trueMs) {
           early++;
-          time.early(expectedMs);
+          time.missingAt(expectedMs);
         } else {
-          time.inTime(expectedMs);
+          time.arrivedBy(expectedMs);
         }
       }
       return early;
     }
 
     @Test
-    void isTriedLessAndLessOften() {
-      assertThat(earlyOf(new ArrivalTime(TRUE_MS), TRUE_MS)).isLessThan(ITEMS / 100);
+    void isTriedLessOften() {
+      assertThat(earlyOf(new ArrivalTimeEstimator(TRUE_MS), TRUE_MS)).isLessThan(ITEMS / 100);
     }
 
     @Test
-    void thatBecomesFasterIsStillFollowed() {
-      ArrivalTime time = new ArrivalTime(TRUE_MS);
+    void changeToAFasterStoreIsFollowed() {
+      ArrivalTimeEstimator time = new ArrivalTimeEstimator(TRUE_MS);
       earlyOf(time, TRUE_MS);
       earlyOf(time, TRUE_MS / 4);
 
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/PlacementPlanTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/PlacementPlanTest.java
@@ -3,8 +3,8 @@
 import static io.sequoiapass.gateway.process.PlanFixtures.ENGINE;
 import static io.sequoiapass.gateway.process.PlanFixtures.MODEL;
 import static io.sequoiapass.gateway.process.PlanFixtures.adapter;
-import static io.sequoiapass.gateway.process.PlanFixtures.calmStore;
 import static io.sequoiapass.gateway.process.PlanFixtures.entry;
+import static io.sequoiapass.gateway.process.PlanFixtures.idleStore;
 import static io.sequoiapass.gateway.process.PlanFixtures.need;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -35,12 +35,12 @@
 class PlacementPlanTest {
 
   private static final DaemonId DAEMON = new DaemonId("north-1");
-  private static final int PLACES = 4;
-  private static final EngineSpec SPEC = PlanFixtures.engineOf(PLACES);
+  private static final int SLOTS = 4;
+  private static final EngineSpec SPEC = PlanFixtures.engineOf(SLOTS);
 
   private final AdapterVersions versions = new AdapterVersions(2_500);
   private final PlacementPlan plan =
-      new PlacementPlan(versions, new ModelLoads(5_000, 1), new LoadTime(calmStore()));
+      new PlacementPlan(versions, new ModelLoadLimiter(5_000, 1), new LoadTime(idleStore()));
   private final FakeEngine engine = new FakeEngine();
 
   /**
@@ -51,11 +51,11 @@
 
     private final Map<AdapterName, Long> held = new HashMap<>();
     private final Set<AdapterName> running = new HashSet<>();
-    private final Set<AdapterName> leaving = new HashSet<>();
+    private final Set<AdapterName> unloading = new HashSet<>();
     private long sequence;
     private boolean hasModel = true;
 
-    OrderResult carryOut(EndpointOrder order) {
+    OrderResult execute(EndpointOrder order) {
       if (order.expectedSequence() != sequence) {
         return OrderResult.CONFLICT;
       }
@@ -67,20 +67,20 @@
       AdapterName name = new AdapterName(order.model(), order.adapter().get());
       if (order.type() == EndpointOrder.Type.UNLOAD) {
         if (running.contains(name)) {
-          leaving.add(name);
+          unloading.add(name);
           return OrderResult.ACCEPTED;
         }
         held.remove(name);
         return OrderResult.DONE;
       }
       held.put(name, order.version().orElse(1));
-      assertThat(held).as("adapters beyond the engine's places").hasSizeLessThanOrEqualTo(PLACES);
+      assertThat(held).as("adapters beyond the engine's places").hasSizeLessThanOrEqualTo(SLOTS);
       return OrderResult.ACCEPTED;
     }
 
-    void runEnds(AdapterName name) {
+    void endRun(AdapterName name) {
       running.remove(name);
-      if (leaving.remove(name)) {
+      if (unloading.remove(name)) {
         held.remove(name);
       }
     }
@@ -95,7 +95,7 @@
   }
 
   @BeforeEach
-  void engineIsKnown() {
+  void registerEngine() {
     plan.observe(entry(1, true), SPEC, 0);
     answerReports(0);
   }
@@ -105,34 +105,34 @@
         .forEach(e -> plan.reported(e.endpoint(), Optional.of(engine.report()), now));
   }
 
-  private void carryOutAll(long now) {
+  private void executeAll(long now) {
     Optional<EndpointOrder> order = plan.nextOrder(ENGINE, DAEMON, 7, now);
     while (order.isPresent()) {
-      plan.ordered(order.get(), engine.carryOut(order.get()), now);
+      plan.ordered(order.get(), engine.execute(order.get()), now);
       order = plan.nextOrder(ENGINE, DAEMON, 7, now);
     }
   }
 
   private void load(int number, long now) {
     assertThat(plan.request(need(number), false, now)).isInstanceOf(LoadReply.Assigned.class);
-    carryOutAll(now);
+    executeAll(now);
   }
 
   @Nested
   class Loading {
 
     @Test
-    void adapterIsOrderedAndTold() {
+    void loadIsOrderedAndPublished() {
       plan.drainChanges();
       load(1, 10);
 
       assertThat(engine.held).containsOnlyKeys(adapter(1));
-      List<Placement> news = plan.drainChanges();
-      assertThat(news.get(news.size() - 1).readyInMs()).isBetween(200L, 300L);
+      List<Placement> changes = plan.drainChanges();
+      assertThat(changes.get(changes.size() - 1).readyInMs()).isBetween(200L, 300L);
     }
 
     @Test
-    void adapterThatIsThereIsNotOrderedAgain() {
+    void heldAdapterIsNotOrderedAgain() {
       load(1, 10);
       plan.request(need(1), false, 20);
 
@@ -140,8 +140,8 @@
     }
 
     @Test
-    void leastWantedAdapterMakesWay() {
-      for (int i = 1; i <= PLACES; i++) {
+    void adapterWithLeastDemandIsEvicted() {
+      for (int i = 1; i <= SLOTS; i++) {
         load(i, i * 1_000L);
       }
       for (int i = 0; i < 5; i++) {
@@ -153,8 +153,8 @@
     }
 
     @Test
-    void adapterInUseNeverMakesWay() {
-      for (int i = 1; i <= PLACES; i++) {
+    void adapterInUseIsNotEvicted() {
+      for (int i = 1; i <= SLOTS; i++) {
         load(i, i * 1_000L);
       }
       List<EndpointUsage.AdapterUse> uses =
@@ -168,8 +168,8 @@
 
     /** Guards against the eviction of an adapter whose first request is not reported yet. */
     @Test
-    void adapterWhoseFirstRequestIsNotHeardOfMakesNoWay() {
-      for (int i = 1; i <= PLACES; i++) {
+    void adapterWithoutAReportedRequestIsNotEvicted() {
+      for (int i = 1; i <= SLOTS; i++) {
         load(i, 10);
       }
       long arrived = 300;
@@ -180,8 +180,8 @@
 
     /** Guards against slots that stay unused after the last reported use. */
     @Test
-    void adapterThatBecameIdleMakesWaySoon() {
-      for (int i = 1; i <= PLACES; i++) {
+    void idleAdapterIsEvictedSoon() {
+      for (int i = 1; i <= SLOTS; i++) {
         load(i, 10);
       }
       List<EndpointUsage.AdapterUse> uses =
@@ -196,10 +196,10 @@
     }
 
     @Test
-    void noMoreAreUnderWayThanAnEngineTakes() {
+    void concurrentLoadsOfAnEngineAreLimited() {
       EngineSpec wide = new EngineSpec(96, 200_000, 16_500, 20, 4, SPEC.models());
       plan.observe(entry(1, true), wide, 5);
-      for (int i = 1; i <= PlacementPlan.MAX_COMING; i++) {
+      for (int i = 1; i <= PlacementPlan.MAX_LOADS_IN_PROGRESS; i++) {
         plan.request(need(i), false, 10);
       }
 
@@ -212,13 +212,13 @@
    * requests that use the adapter have ended, so the slot is still occupied.
    */
   @Nested
-  class AdapterThatLeavesLater {
+  class DeferredUnload {
 
     private static final long NOW = 9_000;
 
     @BeforeEach
-    void theOneThatMakesWayHasARun() {
-      for (int i = 1; i <= PLACES; i++) {
+    void evictAnAdapterInUse() {
+      for (int i = 1; i <= SLOTS; i++) {
         load(i, i * 1_000L);
       }
       engine.running.add(adapter(1));
@@ -226,23 +226,23 @@
     }
 
     @Test
-    void anotherMakesWayAtOnce() {
-      carryOutAll(NOW);
+    void anotherAdapterIsEvictedInstead() {
+      executeAll(NOW);
 
-      assertThat(engine.held).containsKeys(adapter(1), adapter(9)).hasSize(PLACES);
+      assertThat(engine.held).containsKeys(adapter(1), adapter(9)).hasSize(SLOTS);
     }
 
     @Test
-    void loadIsGivenUpAndToldIfNothingElseCanMakeWay() {
+    void loadIsDroppedAndPublishedIfNothingElseCanBeEvicted() {
       List<EndpointUsage.AdapterUse> uses =
           List.of(2, 3, 4).stream()
               .map(i -> new EndpointUsage.AdapterUse(adapter(i), 1, 1))
               .toList();
       plan.updateUsage(DAEMON, List.of(new EndpointUsage(ENGINE, Load.NONE, uses)), NOW);
       plan.drainChanges();
-      carryOutAll(NOW);
+      executeAll(NOW);
 
-      assertThat(engine.held).doesNotContainKey(adapter(9)).hasSize(PLACES);
+      assertThat(engine.held).doesNotContainKey(adapter(9)).hasSize(SLOTS);
       assertThat(plan.drainChanges())
           .filteredOn(placement -> placement.adapter().equals(adapter(9)))
           .extracting(Placement::readyInMs)
@@ -250,19 +250,19 @@
     }
 
     @Test
-    void itsPlaceIsUsedOnceAReportShowsThatItHasLeft() {
-      carryOutAll(NOW);
-      engine.runEnds(adapter(1));
+    void slotIsReusedOnceAReportShowsTheUnload() {
+      executeAll(NOW);
+      engine.endRun(adapter(1));
       answerReports(NOW + 1_000);
       load(10, NOW + 1_001);
 
-      assertThat(engine.held).containsKeys(adapter(9), adapter(10)).hasSize(PLACES);
+      assertThat(engine.held).containsKeys(adapter(9), adapter(10)).hasSize(SLOTS);
     }
 
     @Test
-    void reportFromBeforeTheOrderDoesNotShowIt() {
+    void reportOlderThanTheOrderFreesNoSlot() {
       EndpointReport before = engine.report();
-      carryOutAll(NOW);
+      executeAll(NOW);
       assertThat(plan.dueForReport(NOW + 1_000)).hasSize(1);
       plan.reported(
           ENGINE,
@@ -270,7 +270,7 @@
           NOW + 1_000);
       load(10, NOW + 1_001);
 
-      assertThat(engine.held).hasSize(PLACES);
+      assertThat(engine.held).hasSize(SLOTS);
     }
   }
 
@@ -279,26 +279,26 @@
    * is lost, and the order arrives after others were accepted.
    */
   @Nested
-  class LateOrder {
+  class DelayedOrder {
 
     @Test
-    void isRefusedOnceAnotherWasAccepted() {
+    void isRefusedAfterAnotherWasAccepted() {
       plan.request(need(1), false, 10);
       EndpointOrder lost = plan.nextOrder(ENGINE, DAEMON, 7, 10).orElseThrow();
       plan.ordered(lost, OrderResult.UNKNOWN, 130);
-      carryOutAll(131);
+      executeAll(131);
 
       assertThat(engine.held).containsOnlyKeys(adapter(1));
-      assertThat(engine.carryOut(lost)).isEqualTo(OrderResult.CONFLICT);
+      assertThat(engine.execute(lost)).isEqualTo(OrderResult.CONFLICT);
     }
 
     @Test
-    void thatWasCarriedOutAfterAllIsFoundByTheReport() {
+    void isFoundByTheReportIfItWasExecuted() {
       plan.request(need(1), false, 10);
       EndpointOrder lost = plan.nextOrder(ENGINE, DAEMON, 7, 10).orElseThrow();
-      engine.carryOut(lost);
+      engine.execute(lost);
       plan.ordered(lost, OrderResult.UNKNOWN, 130);
-      carryOutAll(131);
+      executeAll(131);
       answerReports(1_000);
       load(2, 1_001);
 
@@ -306,26 +306,26 @@
     }
 
     @Test
-    void neverFillsAnEngineBeyondItsPlaces() {
+    void neverExceedsTheSlotsOfAnEngine() {
       for (long seed = 0; seed < 200; seed++) {
-        playLostAndLateOrders(new Random(seed), false);
+        simulateLostAndDelayedOrders(new Random(seed), false);
       }
     }
 
     @Test
-    void neverFillsAnEngineWhoseAdaptersLeaveLater() {
+    void neverExceedsTheSlotsWithDeferredUnloads() {
       for (long seed = 1_000; seed < 1_300; seed++) {
-        playLostAndLateOrders(new Random(seed), true);
+        simulateLostAndDelayedOrders(new Random(seed), true);
       }
     }
 
     /** The engine checks its slots at each order. */
-    private void playLostAndLateOrders(Random random, boolean runs) {
+    private void simulateLostAndDelayedOrders(Random random, boolean runs) {
       PlacementPlan fresh =
-          new PlacementPlan(versions, new ModelLoads(5_000, 1), new LoadTime(calmStore()));
+          new PlacementPlan(versions, new ModelLoadLimiter(5_000, 1), new LoadTime(idleStore()));
       FakeEngine other = new FakeEngine();
       fresh.observe(entry(1, true), SPEC, 0);
-      List<EndpointOrder> late = new java.util.ArrayList<>();
+      List<EndpointOrder> delayed = new java.util.ArrayList<>();
       for (long now = 0; now < 20_000; now += 50) {
         long at = now;
         fresh
@@ -333,34 +333,34 @@
             .forEach(e -> fresh.reported(e.endpoint(), Optional.of(other.report()), at));
         fresh.request(need(random.nextInt(12)), false, now);
         if (runs) {
-          beginOrEndARun(other, random);
+          startOrEndARun(other, random);
         }
         Optional<EndpointOrder> order = fresh.nextOrder(ENGINE, DAEMON, 7, now);
         if (order.isPresent()) {
           double draw = random.nextDouble();
           if (draw < 0.6) {
-            fresh.ordered(order.get(), other.carryOut(order.get()), now);
+            fresh.ordered(order.get(), other.execute(order.get()), now);
           } else {
             if (draw < 0.8) {
-              late.add(order.get());
+              delayed.add(order.get());
             } else {
-              other.carryOut(order.get());
+              other.execute(order.get());
             }
             fresh.ordered(order.get(), OrderResult.UNKNOWN, now);
           }
         }
-        if (!late.isEmpty() && random.nextInt(10) == 0) {
-          other.carryOut(late.remove(random.nextInt(late.size())));
+        if (!delayed.isEmpty() && random.nextInt(10) == 0) {
+          other.execute(delayed.remove(random.nextInt(delayed.size())));
         }
       }
       assertThat(other.sequence).as("orders accepted").isGreaterThan(20);
     }
 
-    private void beginOrEndARun(FakeEngine other, Random random) {
+    private void startOrEndARun(FakeEngine other, Random random) {
       AdapterName name = adapter(random.nextInt(12));
       if (other.running.contains(name)) {
-        other.runEnds(name);
-      } else if (other.held.containsKey(name) && !other.leaving.contains(name)) {
+        other.endRun(name);
+      } else if (other.held.containsKey(name) && !other.unloading.contains(name)) {
         other.running.add(name);
       }
     }
@@ -371,7 +371,7 @@
   class RestartedEngine {
 
     @Test
-    void isToldToHoldNothingAndAskedAgain() {
+    void isPublishedAsEmptyAndAskedForAReport() {
       load(1, 10);
       plan.drainChanges();
       engine.held.clear();
@@ -383,7 +383,7 @@
     }
 
     @Test
-    void withoutABaseModelGetsOne() {
+    void withoutABaseModelLoadsOne() {
       engine.hasModel = false;
       engine.sequence = 0;
       plan.observe(entry(2, false), SPEC, 2_000);
@@ -402,10 +402,10 @@
   class StaleEntry {
 
     @Test
-    void bringsNoSecondBaseModel() {
+    void doesNotLoadASecondBaseModel() {
       ModelSpec other = new ModelSpec(new ModelId("other"), 16_100, 600, a -> true);
       EngineSpec two =
-          new EngineSpec(96, 200_000, 16_500, PLACES, 4, List.of(other, SPEC.models().get(0)));
+          new EngineSpec(96, 200_000, 16_500, SLOTS, 4, List.of(other, SPEC.models().get(0)));
       plan.observe(entry(1, false), two, 500);
 
       assertThat(plan.nextOrder(ENGINE, DAEMON, 7, 500)).isEmpty();
@@ -421,7 +421,7 @@
    * callers are refused meanwhile if all slots of the other engines are in use.
    */
   @Nested
-  class BaseModelOnItsWay {
+  class LoadingBaseModel {
 
     private static final long ORDERED_AT = 2_002;
 
@@ -440,7 +440,7 @@
       return new EndpointReport(engine.report().models(), Map.of(), busy, sequence);
     }
 
-    private long answeredOnceAsked(long from, EndpointReport report) {
+    private long reportWhenRequested(long from, EndpointReport report) {
       long now = from;
       while (plan.dueForReport(now).isEmpty()) {
         now += 10;
@@ -450,20 +450,20 @@
     }
 
     @Test
-    void isFoundWithinHalfASecondOfItsArrival() {
-      long asked = answeredOnceAsked(ORDERED_AT, report(true, 1));
+    void isDetectedWithinHalfASecond() {
+      long requestedAt = reportWhenRequested(ORDERED_AT, report(true, 1));
       engine.hasModel = true;
-      long found = answeredOnceAsked(asked + 1, report(false, 1));
+      long detectedAt = reportWhenRequested(requestedAt + 1, report(false, 1));
 
-      assertThat(found - asked).isLessThanOrEqualTo(500);
-      assertThat(plan.request(need(1), false, found)).isInstanceOf(LoadReply.Assigned.class);
+      assertThat(detectedAt - requestedAt).isLessThanOrEqualTo(500);
+      assertThat(plan.request(need(1), false, detectedAt)).isInstanceOf(LoadReply.Assigned.class);
     }
 
     @Test
-    void reportFromBeforeTheOrderBringsNoSecondOne() {
-      long asked = answeredOnceAsked(ORDERED_AT, report(false, 0));
+    void reportOlderThanTheOrderCausesNoSecondLoad() {
+      long requestedAt = reportWhenRequested(ORDERED_AT, report(false, 0));
 
-      assertThat(plan.nextOrder(ENGINE, DAEMON, 7, asked + 1)).isEmpty();
+      assertThat(plan.nextOrder(ENGINE, DAEMON, 7, requestedAt + 1)).isEmpty();
     }
   }
 
@@ -471,19 +471,19 @@
   class NewVersion {
 
     @Test
-    void replacesACopyThatIsAskedFor() {
+    void replacesARequestedCopy() {
       load(1, 10);
       plan.request(need(1), false, 20);
       versions.announce(adapter(1), 2, 1_000);
       plan.released(adapter(1), 2, 1_000);
-      carryOutAll(1_001);
+      executeAll(1_001);
 
       assertThat(engine.held).containsEntry(adapter(1), 2L);
     }
 
     @Test
-    void olderCopyMakesWayFirst() {
-      for (int i = 1; i <= PLACES; i++) {
+    void outdatedCopyIsEvictedFirst() {
+      for (int i = 1; i <= SLOTS; i++) {
         load(i, i * 1_000L);
       }
       versions.announce(adapter(4), 2, 8_000);
@@ -498,9 +498,9 @@
 
     private static final long LARGE_FLEET_INTERVAL_MS = 450;
 
-    private boolean isHeldAfterALoadAt(int number, long now) {
-      plan.request(need(PLACES + 1), false, now);
-      carryOutAll(now);
+    private boolean isHeldAfterLoadAt(int number, long now) {
+      plan.request(need(SLOTS + 1), false, now);
+      executeAll(now);
       return plan.holds(adapter(number), 1);
     }
 
@@ -514,9 +514,9 @@
 
     @BeforeEach
     void fillAllSlots() {
-      for (int number = 1; number <= PLACES; number++) {
+      for (int number = 1; number <= SLOTS; number++) {
         plan.request(need(number), false, number * 500L);
-        carryOutAll(number * 500L);
+        executeAll(number * 500L);
       }
       for (int requests = 0; requests < 6; requests++) {
         use(5_000, 2, 3, 4);
@@ -525,8 +525,8 @@
     }
 
     @Test
-    void takesTheLeastRequestedAdapter() {
-      assertThat(isHeldAfterALoadAt(1, 6_200)).isFalse();
+    void evictsTheLeastRequestedAdapter() {
+      assertThat(isHeldAfterLoadAt(1, 6_200)).isFalse();
     }
 
     /**
@@ -537,23 +537,23 @@
     void sparesAnAdapterThatWasJustRequested() {
       plan.request(need(1), false, 6_980);
 
-      assertThat(isHeldAfterALoadAt(1, 7_000)).isTrue();
+      assertThat(isHeldAfterLoadAt(1, 7_000)).isTrue();
     }
 
     /** Requests sent since the last usage report are unknown for longer in a large fleet. */
     @Test
     void waitsForTheReportsOfALargeFleet() {
-      plan.reportInterval(LARGE_FLEET_INTERVAL_MS);
+      plan.setReportInterval(LARGE_FLEET_INTERVAL_MS);
 
-      assertThat(isHeldAfterALoadAt(1, 6_200)).isTrue();
-      assertThat(isHeldAfterALoadAt(1, 6_400)).isTrue();
+      assertThat(isHeldAfterLoadAt(1, 6_200)).isTrue();
+      assertThat(isHeldAfterLoadAt(1, 6_400)).isTrue();
     }
 
     @Test
-    void goesOnAfterTheReportsOfALargeFleet() {
-      plan.reportInterval(LARGE_FLEET_INTERVAL_MS);
+    void resumesAfterTheReportsOfALargeFleet() {
+      plan.setReportInterval(LARGE_FLEET_INTERVAL_MS);
 
-      assertThat(isHeldAfterALoadAt(1, 6_700)).isFalse();
+      assertThat(isHeldAfterLoadAt(1, 6_700)).isFalse();
     }
   }
 }
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/PlacementUpdateBatchTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/PlacementUpdateBatchTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void arrivalIsToldAsOfTheTelling() {
+  void arrivalIsRelativeToTheDrain() {
     updateBatch.add(List.of(ready(250)), 1_000);
 
     assertThat(updateBatch.drain(1_150)).containsExactly(ready(100));
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void ofAnAdapterThatCameAndLeftOnlyTheEndIsTold() {
+  void laterUpdateReplacesTheEarlierOne() {
     updateBatch.add(List.of(ready(250)), 1_000);
     updateBatch.add(List.of(ready(-1)), 1_100);
 
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void overdueArrivalIsTold() {
+  void overdueArrivalIsZero() {
     updateBatch.add(List.of(ready(50)), 1_000);
 
     assertThat(updateBatch.drain(1_450)).containsExactly(ready(0));
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/PlanFixtures.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/PlanFixtures.java
@@ -23,12 +23,12 @@
 
   private PlanFixtures() {}
 
-  static EngineSpec engineOf(int places) {
+  static EngineSpec engineOf(int slots) {
     return new EngineSpec(
-        96, 200_000, 16_500, places, 4, List.of(new ModelSpec(MODEL, 16_100, 600, a -> true)));
+        96, 200_000, 16_500, slots, 4, List.of(new ModelSpec(MODEL, 16_100, 600, a -> true)));
   }
 
-  static LoadTime.Traffic calmStore() {
+  static LoadTime.Traffic idleStore() {
     return now -> 0;
   }
 
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/SharedRetryBudgetTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/SharedRetryBudgetTest.java
@@ -25,18 +25,18 @@
   @Test
   void allDaemonsTogetherStayWithinTheSharedBudget() {
     int requests = 0;
-    int repeats = 0;
+    int retries = 0;
     for (int daemon = 0; daemon < DAEMONS; daemon++) {
       SharedRetryBudget budget = budget(DAEMONS);
       for (long now = 0; now < WINDOW_MS; now += 100) {
         budget.requestArrived(now);
         requests++;
-        repeats += budget.take(now) ? 1 : 0;
+        retries += budget.take(now) ? 1 : 0;
       }
     }
 
-    assertThat((double) repeats).isLessThanOrEqualTo(RATIO * requests + SLACK);
-    assertThat(repeats).isGreaterThan(requests / 10);
+    assertThat((double) retries).isLessThanOrEqualTo(RATIO * requests + SLACK);
+    assertThat(retries).isGreaterThan(requests / 10);
   }
 
   @Test
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void unknownNumberOfDaemonsTakesASmallShare() {
+  void unknownNumberOfDaemonsUsesASmallShare() {
     SharedRetryBudget alone = budget(0);
     int taken = 0;
     while (alone.take(0)) {
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/StoreFeedTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/StoreFeedTest.java
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void tellsNothingWhileTheStoreDoesNotAnswer() {
+    void reportsNoAgeWhileTheStoreDoesNotAnswer() {
       feed.start();
       assertThat(feed.view().ageMs()).isZero();
       time.set(300);
@@ -138,35 +138,35 @@
   class WithRelay {
 
     @Test
-    void restsAfterItsList() {
+    void pausesAfterItsList() {
       relay.fresh = true;
       feed.start();
-      feed.look();
+      feed.checkRelay();
 
       assertThat(store.watches).isZero();
       assertThat(store.lists).isEqualTo(1);
     }
 
     @Test
-    void fetchesOnceWhatItIsToldOf() {
+    void fetchesAReportedRevisionOnce() {
       relay.fresh = true;
       feed.start();
       store.add("base.a7");
       relay.revision = store.revision;
-      feed.look();
-      feed.look();
+      feed.checkRelay();
+      feed.checkRelay();
 
       assertThat(taken).containsExactly("base.a7");
       assertThat(store.lists).isEqualTo(2);
     }
 
     @Test
-    void asksForItselfOnceNobodyIsReliedOn() {
+    void watchesWhenTheRelayIsNotFresh() {
       relay.fresh = true;
       feed.start();
       store.add("base.a7");
       relay.fresh = false;
-      feed.look();
+      feed.checkRelay();
 
       assertThat(taken).containsExactly("base.a7");
       assertThat(store.watches).isEqualTo(1);
@@ -199,9 +199,9 @@
         // Writes of other kinds constantly advance the store's revision.
         store.revision++;
         relay.revision = other.view().revision();
-        feed.look();
+        feed.checkRelay();
         otherRelay.revision = feed.view().revision();
-        other.look();
+        other.checkRelay();
       }
     }
 
@@ -217,7 +217,7 @@
 
       store.add("base.a7");
       relay.revision = store.revision;
-      feed.look();
+      feed.checkRelay();
       exchange();
 
       assertThat(store.lists).isEqualTo(4);
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/StoreFreshnessTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/StoreFreshnessTest.java
@@ -22,12 +22,12 @@
         1, 5, 6, stopping, view, view, view, LoadTimeEstimates.FIRST, false);
   }
 
-  private void heard(DataCentreId from, long ageMs, long now) {
+  private void reported(DataCentreId from, long ageMs, long now) {
     freshness.update(from, status(70, ageMs, false), now);
   }
 
   @Test
-  void newestRevisionCounts() {
+  void newestRevisionIsReturned() {
     freshness.update(NORTH, status(70, 0, false), 0);
     freshness.update(SOUTH, status(75, 0, false), 0);
 
@@ -43,26 +43,26 @@
   class CutOffCoordinator {
 
     @Test
-    void oneWitnessIsNotEnough() {
-      heard(NORTH, 100, 0);
+    void oneCoordinatorIsNotEnough() {
+      reported(NORTH, 100, 0);
 
       assertThat(freshness.areFresh(Topic.ENDPOINTS, 10)).isFalse();
     }
 
     @Test
-    void twoWitnessesAreEnough() {
-      heard(NORTH, 100, 0);
-      heard(SOUTH, 900, 0);
+    void twoCoordinatorsAreEnough() {
+      reported(NORTH, 100, 0);
+      reported(SOUTH, 900, 0);
 
       assertThat(freshness.areFresh(Topic.ENDPOINTS, 10)).isTrue();
     }
 
     @Test
-    void knowledgeThatAgesIsNoLongerReliedOn() {
-      heard(NORTH, 100, 0);
-      heard(SOUTH, 100, 0);
-      heard(WEST, 100, 0);
-      heard(WEST, 1_300, 1_200);
+    void outdatedViewsDoNotCount() {
+      reported(NORTH, 100, 0);
+      reported(SOUTH, 100, 0);
+      reported(WEST, 100, 0);
+      reported(WEST, 1_300, 1_200);
 
       assertThat(freshness.areFresh(Topic.ENDPOINTS, 1_500)).isTrue();
       assertThat(freshness.areFresh(Topic.ENDPOINTS, 1_501)).isFalse();
@@ -70,18 +70,18 @@
     }
 
     @Test
-    void coordinatorThatKnowsItHasNoStoreIsNoWitness() {
-      heard(NORTH, -1, 0);
-      heard(SOUTH, 0, 0);
+    void coordinatorThatReportsAnOutageDoesNotCount() {
+      reported(NORTH, -1, 0);
+      reported(SOUTH, 0, 0);
 
       assertThat(freshness.areFresh(Topic.ENDPOINTS, 0)).isFalse();
     }
 
     @Test
-    void lostOrStoppingCoordinatorIsNoWitness() {
-      heard(NORTH, 0, 0);
-      heard(SOUTH, 0, 0);
-      heard(WEST, 0, 0);
+    void lostOrStoppingCoordinatorDoesNotCount() {
+      reported(NORTH, 0, 0);
+      reported(SOUTH, 0, 0);
+      reported(WEST, 0, 0);
       freshness.lost(NORTH);
       assertThat(freshness.areFresh(Topic.RELEASES, 0)).isTrue();
 
@@ -92,22 +92,22 @@
 
   /** Guards against coordinators that all pause because of one another. */
   @Test
-  void coordinatorsRestOnlyBecauseOfThoseBeforeThem() {
-    heard(NORTH, 100, 0);
-    heard(SOUTH, 100, 0);
-    heard(WEST, 100, 0);
-
-    assertThat(freshness.areFreshBefore(WEST, Topic.ENDPOINTS, 0)).isTrue();
-    assertThat(freshness.areFreshBefore(SOUTH, Topic.ENDPOINTS, 0)).isFalse();
-    assertThat(freshness.areFreshBefore(NORTH, Topic.ENDPOINTS, 0)).isFalse();
+  void coordinatorsRelyOnlyOnThoseBeforeThem() {
+    reported(NORTH, 100, 0);
+    reported(SOUTH, 100, 0);
+    reported(WEST, 100, 0);
+
+    assertThat(freshness.areFreshForCoordinator(WEST, Topic.ENDPOINTS, 0)).isTrue();
+    assertThat(freshness.areFreshForCoordinator(SOUTH, Topic.ENDPOINTS, 0)).isFalse();
+    assertThat(freshness.areFreshForCoordinator(NORTH, Topic.ENDPOINTS, 0)).isFalse();
   }
 
   @Test
-  void coordinatorWatchesAgainOnceOneBeforeItIsLost() {
-    heard(NORTH, 100, 0);
-    heard(SOUTH, 100, 0);
+  void coordinatorWatchesAgainWhenOneBeforeItIsLost() {
+    reported(NORTH, 100, 0);
+    reported(SOUTH, 100, 0);
     freshness.lost(NORTH);
 
-    assertThat(freshness.areFreshBefore(WEST, Topic.ENDPOINTS, 0)).isFalse();
+    assertThat(freshness.areFreshForCoordinator(WEST, Topic.ENDPOINTS, 0)).isFalse();
   }
 }
