--- a/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinationNode.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinationNode.java
@@ -48,7 +48,7 @@
    *
    * @param here this daemon's data centre
    * @param election decides on the lease
-   * @param store keeps the leases
+   * @param store holds the leases
    * @param loop runs callbacks and timers
    * @param clock the monotonic clock
    * @param freezes detects that the host was suspended
@@ -83,7 +83,7 @@
     return election.isHolding();
   }
 
-  /** Returns whether an order may be given now. */
+  /** Returns whether an order may be sent now. */
   synchronized boolean mayOrder(long now, boolean fenced) {
     if (freezes.checkDrift()) {
       log.belief("freeze_noticed").with("holding", election.isHolding()).write();
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointDirectory.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointDirectory.java
@@ -270,8 +270,7 @@
 
   /**
    * Applies an entry; returns whether it changes anything that requests depend on. An unreadable
-   * entry comes from another writer and is ignored. So is an entry older than the known one, since
-   * the store and the coordinators report the same changes in different order.
+   * entry comes from another writer and is ignored. So is an entry older than the known one, since changes of the store and of the coordinators may arrive out of order.
    */
   private synchronized boolean apply(Stored<EndpointEntry> item) {
     if (item.value().isEmpty()) {
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EngineCost.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EngineCost.java
@@ -14,7 +14,7 @@
   /**
    * What one running request adds to the wait, in milliseconds. Its tokens are generated in the
    * same steps: each request makes a step a hundredth of a millisecond longer, and its context adds
-   * some more. Over the steps of a prefill this is the sum.
+   * some more. Summed over the steps of a prefill this is about 1.5 ms.
    */
   private static final double RUNNING_REQUEST_MS = 1.5;
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/LoadQueue.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/LoadQueue.java
@@ -21,7 +21,8 @@
  * the remaining slots. An entry whose expected wait exceeds its deadline is rejected immediately,
  * since a caller gains nothing from waiting first. Without the queue, rejected requests would be
  * retried every 400 ms, and a freed slot would stay unused until then or go to whichever request
- * came next. Not safe for use by several threads.
+ * came next. This matters under heavy load, when three quarters of the slots hold adapters in use,
+ * or all of them while a quarter of the engines is down. Not safe for use by several threads.
  */
 final class LoadQueue {
 
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/EndpointGroupTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/EndpointGroupTest.java
@@ -82,7 +82,8 @@
 
   /**
    * Guards against requests that are sent to a slow engine because its load is like that of the
-   * others.
+   * others: one engine is four times as slow, and its late requests do not show in its load, since
+   * their responses have started.
    */
   @Nested
   class SlowEngine {
@@ -212,7 +213,11 @@
     }
   }
 
-  /** Guards against a second load of an adapter that is only late. */
+  /**
+   * Guards against a second load of an adapter that is only late. The engine refuses a request at
+   * the expected time; loading the adapter at another engine would delay all other loads in
+   * progress.
+   */
   @Nested
   class LateAdapter {
 
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/PlacementPlanTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/PlacementPlanTest.java
@@ -74,7 +74,7 @@
         return OrderResult.DONE;
       }
       held.put(name, order.version().orElse(1));
-      assertThat(held).as("adapters beyond the engine's places").hasSizeLessThanOrEqualTo(SLOTS);
+      assertThat(held).as("adapters beyond the engine's slots").hasSizeLessThanOrEqualTo(SLOTS);
       return OrderResult.ACCEPTED;
     }
 
