--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/KeyedStart.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/KeyedStart.java
@@ -9,20 +9,23 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Is one request's way through the ledger, seen from its entry; guarded by the node's lock. */
+/**
+ * State of one request's exchange with the idempotency ledger, at its entry daemon; guarded by the
+ * node's lock.
+ */
 final class KeyedStart {
 
-  /** A home that moves is asked again this often: it answers within a few milliseconds. */
-  private static final long ASK_AGAIN_MS = 100;
+  /** Resend interval while the primary replica changes; one answers within a few milliseconds. */
+  private static final long RETRY_INTERVAL_MS = 100;
 
-  /** The longest pause before an outcome that was not confirmed is sent again. */
-  private static final long MAX_PAUSE_MS = 6_400;
+  /** Limits the backoff between sends of an unconfirmed outcome. */
+  private static final long MAX_RETRY_INTERVAL_MS = 6_400;
 
-  /** A change of home takes a read of the membership; a caller should not wait longer for it. */
-  private static final long START_LIMIT_MS = 4_000;
+  /** A change of primary replica takes one read of the membership; callers wait no longer. */
+  private static final long START_TIMEOUT_MS = 4_000;
 
-  /** After this the record stays open until the home learns that this entry is gone. */
-  private static final long FINISH_LIMIT_MS = 60_000;
+  /** After this the record stays open until the primary replica detects that this entry failed. */
+  private static final long FINISH_TIMEOUT_MS = 60_000;
 
   private final IdempotencyKey key;
   private final String digest;
@@ -30,9 +33,9 @@
   private Step step;
   private OutcomeClass outcome;
   private Consumer<Optional<ErrorKind>> listener;
-  private long pauseMs = ASK_AGAIN_MS;
-  private long sendAt;
-  private long until;
+  private long retryIntervalMs = RETRY_INTERVAL_MS;
+  private long nextSendAt;
+  private long expiresAt;
 
   KeyedStart(IdempotencyKey key, String digest, Holder holder) {
     this.key = key;
@@ -51,36 +54,36 @@
   void begin(Consumer<Optional<ErrorKind>> answer, long nowMs, long deadlineMs) {
     listener = answer;
     step = Step.RESERVE;
-    pauseMs = ASK_AGAIN_MS;
-    sendAt = nowMs;
-    until = Math.min(deadlineMs, nowMs + START_LIMIT_MS);
+    retryIntervalMs = RETRY_INTERVAL_MS;
+    nextSendAt = nowMs;
+    expiresAt = Math.min(deadlineMs, nowMs + START_TIMEOUT_MS);
   }
 
-  void finish(OutcomeClass how, long nowMs) {
+  void finish(OutcomeClass result, long nowMs) {
     listener = null;
     step = Step.FINISH;
-    outcome = how;
-    pauseMs = ASK_AGAIN_MS;
-    sendAt = nowMs;
-    until = nowMs + FINISH_LIMIT_MS;
+    outcome = result;
+    retryIntervalMs = RETRY_INTERVAL_MS;
+    nextSendAt = nowMs;
+    expiresAt = nowMs + FINISH_TIMEOUT_MS;
   }
 
-  /** Lets it be sent to a new home at once. */
-  void homeMoved(long nowMs) {
-    sendAt = Math.min(sendAt, nowMs);
+  /** Makes the pending message due immediately, for a new primary replica. */
+  void primaryChanged(long nowMs) {
+    nextSendAt = Math.min(nextSendAt, nowMs);
   }
 
-  /** Returns whether it waits for an answer of the home. */
-  boolean isWaiting() {
+  /** Returns whether an answer of the primary replica is pending. */
+  boolean isPending() {
     return step != null;
   }
 
   boolean isDue(long nowMs) {
-    return isWaiting() && nowMs >= sendAt;
+    return isPending() && nowMs >= nextSendAt;
   }
 
-  boolean isTooLate(long nowMs) {
-    return isWaiting() && nowMs >= until;
+  boolean isTimedOut(long nowMs) {
+    return isPending() && nowMs >= expiresAt;
   }
 
   boolean isFinishing() {
@@ -88,11 +91,14 @@
   }
 
   LedgerMessage message(long nowMs) {
-    sendAt = nowMs + pauseMs;
+    nextSendAt = nowMs + retryIntervalMs;
     if (isFinishing()) {
-      // Nobody waits for it: a home that needs it asks. At the full pace the unheard outcomes of a
-      // minute without a home would be thousands of messages a second.
-      pauseMs = Math.min(2 * pauseMs, MAX_PAUSE_MS);
+      // No request waits for this; a replica that needs the outcome queries it. Without backoff,
+      // the
+      // unconfirmed outcomes of a minute without a primary replica would cause thousands of
+      // messages
+      // per second.
+      retryIntervalMs = Math.min(2 * retryIntervalMs, MAX_RETRY_INTERVAL_MS);
     }
     return switch (step) {
       case RESERVE -> new LedgerMessage.Reserve(key, digest, holder);
@@ -101,27 +107,27 @@
     };
   }
 
-  /** Returns what a home is told that asks how this stands. */
-  LedgerMessage standing(LedgerMessage.AskHolder ask) {
+  /** Returns the reply to a replica's query for the state of this request. */
+  LedgerMessage status(LedgerMessage.AskHolder query) {
     return isFinishing()
         ? new LedgerMessage.Finish(key, holder, outcome)
-        : new LedgerMessage.StillOpen(key, holder, ask.asker());
+        : new LedgerMessage.StillOpen(key, holder, query.asker());
   }
 
-  /** Takes that the step was done; returns true if the whole is. */
-  boolean done(Step answered, long nowMs) {
+  /** Moves on after a confirmed step; returns true if no step is left. */
+  boolean confirm(Step answered, long nowMs) {
     if (answered != step) {
       return false;
     }
-    sendAt = nowMs;
+    nextSendAt = nowMs;
     step = step == Step.RESERVE ? Step.MARK_START : null;
     return step == null;
   }
 
-  /** Begins anew with a home that did not know, after a pause. */
-  void again() {
+  /** Restarts after a replica could not decide; the next message is sent when it is due. */
+  void restart() {
     if (step == Step.MARK_START) {
-      // The home that kept the reservation may be gone with it.
+      // The replica that held the reservation may have failed.
       step = Step.RESERVE;
     }
   }
@@ -132,7 +138,7 @@
     return taken;
   }
 
-  void rest() {
+  void cancel() {
     step = null;
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerLeases.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerLeases.java
@@ -4,18 +4,18 @@
 import java.util.Collection;
 import java.util.Set;
 
-/** Tells how leases stand; safe for use by several threads. */
+/** State of the daemons' leases; safe for use by several threads. */
 public interface LedgerLeases {
 
-  /** Returns until when this daemon's own lease surely holds; in the past if it does not. */
+  /** Returns until when this daemon's own lease is certainly valid; in the past if it is not. */
   long authorityUntil();
 
   /**
-   * Returns which daemons' leases have surely lapsed, as far as this daemon can judge them.
+   * Returns the daemons whose leases have certainly expired, as far as this daemon can determine.
    *
    * @param daemons the daemons
-   * @param knownSince when the membership was first known as it is: a lease that was judged before
-   *     then may have been renewed by a daemon that wrote this very membership
+   * @param knownSince when this daemon received the current membership: a lease that was found
+   *     expired before then may have been renewed by a daemon that wrote this membership
    */
   Set<DaemonId> lapsed(Collection<DaemonId> daemons, long knownSince);
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerMembers.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerMembers.java
@@ -14,23 +14,26 @@
 import java.util.concurrent.Executor;
 
 /**
- * Keeps the membership of the ledger: one object on the platform, changed by conditional writes.
+ * Membership of the idempotency ledger: one object on the platform, changed by conditional writes.
  *
  * <p>A daemon may decide about keys only between its own successful write of the object and the end
- * of the lease that it held when it sent that write, as long as that lease went on. Another may
- * strike it out only after its lease lapsed, by a write that is conditional on the version that was
- * known before. So of a daemon that comes back and one that strikes it out, one finds a conflict.
- * Guarded by the node's lock.
+ * of the lease that it held when it sent that write, as long as that lease is renewed without a
+ * gap. Another daemon may remove it only after its lease has expired, by a write that is
+ * conditional on the version read before. So if a daemon rejoins while another removes it, one of
+ * the two writes fails with a conflict. Guarded by the node's lock.
  */
 final class LedgerMembers {
 
   private static final String KIND = "ledger";
   private static final String NAME = "members";
 
-  /** Bounds how long a key's new home is unknown; 400 daemons make 400 reads a second of 2,000. */
-  private static final long READ_EVERY_MS = 1_000;
+  /**
+   * Limits how long a key's new primary replica is unknown. 400 daemons make 400 reads per second,
+   * of the 2,000 that the platform allows.
+   */
+  private static final long READ_INTERVAL_MS = 1_000;
 
-  private static final long RETRY_MS = 100;
+  private static final long MIN_RETRY_DELAY_MS = 100;
 
   private static final long NOT_READ = -1;
 
@@ -38,7 +41,7 @@
   private final LedgerLeases leases;
   private final Executor locked;
   private final MillisClock clock;
-  private LedgerMember life;
+  private LedgerMember self;
   private Set<LedgerMember> members = Set.of();
   private long version = NOT_READ;
   private long knownSince;
@@ -46,29 +49,29 @@
   private long nextReadAt = Long.MIN_VALUE;
   private long nextWriteAt = Long.MIN_VALUE;
   private long operations;
-  private String creating = "";
-  private boolean calling;
+  private String createOperation = "";
+  private boolean callInProgress;
   private boolean confirmed;
   private boolean joined;
-  private boolean created;
+  private boolean createdMembership;
   private boolean leaving;
-  private boolean anew;
+  private boolean incarnationChanged;
 
   LedgerMembers(
-      LedgerMember life,
+      LedgerMember self,
       MillisClock clock,
       PlatformClient platform,
       LedgerLeases leases,
       Executor locked) {
-    this.life = life;
+    this.self = self;
     this.clock = clock;
     this.platform = platform;
     this.leases = leases;
     this.locked = locked;
   }
 
-  LedgerMember life() {
-    return life;
+  LedgerMember self() {
+    return self;
   }
 
   Set<LedgerMember> members() {
@@ -80,22 +83,22 @@
   }
 
   boolean isMember() {
-    return members.contains(life);
+    return members.contains(self);
   }
 
-  /** Returns whether this life made the first membership that there ever was. */
-  boolean createdIt() {
-    return created;
+  /** Returns whether this incarnation created the membership object. */
+  boolean createdMembership() {
+    return createdMembership;
   }
 
-  /** Returns, once, whether this daemon was struck out and goes on as a new life. */
-  boolean startedAnew() {
-    boolean was = anew;
-    anew = false;
-    return was;
+  /** Returns, once, whether this daemon was removed and continues as a new incarnation. */
+  boolean takeIncarnationChange() {
+    boolean changed = incarnationChanged;
+    incarnationChanged = false;
+    return changed;
   }
 
-  /** Returns until when this life may decide. */
+  /** Returns until when this incarnation may decide about keys. */
   long authorityUntil() {
     return confirmed && !leaving ? leaseUntil : Long.MIN_VALUE;
   }
@@ -106,11 +109,11 @@
 
   void tick(long now) {
     if (now >= leaseUntil) {
-      // From here on another may strike this daemon out; it decides again after its next write.
+      // Another daemon may remove this one from here on; it decides again after its next write.
       confirmed = false;
     }
     leaseUntil = leases.authorityUntil();
-    if (calling) {
+    if (callInProgress) {
       return;
     }
     if (now >= nextReadAt) {
@@ -123,73 +126,73 @@
   private void write(long now) {
     if (leaving) {
       if (isMember()) {
-        put(without(Set.of(life.daemon())));
+        put(without(Set.of(self.daemon())));
       }
     } else if (now < leaseUntil) {
       if (!confirmed) {
-        Set<LedgerMember> with = without(Set.of(life.daemon()));
-        with.add(life);
+        Set<LedgerMember> with = without(Set.of(self.daemon()));
+        with.add(self);
         put(with);
         return;
       }
       List<DaemonId> others =
-          members.stream().map(LedgerMember::daemon).filter(d -> !d.equals(life.daemon())).toList();
-      Set<DaemonId> gone = leases.lapsed(others, knownSince);
-      if (!gone.isEmpty()) {
-        put(without(gone));
+          members.stream().map(LedgerMember::daemon).filter(d -> !d.equals(self.daemon())).toList();
+      Set<DaemonId> expired = leases.lapsed(others, knownSince);
+      if (!expired.isEmpty()) {
+        put(without(expired));
       }
     }
   }
 
-  private Set<LedgerMember> without(Set<DaemonId> gone) {
+  private Set<LedgerMember> without(Set<DaemonId> removed) {
     Set<LedgerMember> rest = new TreeSet<>(members);
-    rest.removeIf(member -> gone.contains(member.daemon()));
+    rest.removeIf(member -> removed.contains(member.daemon()));
     return rest;
   }
 
   private void put(Set<LedgerMember> changed) {
-    calling = true;
+    callInProgress = true;
     long sentUntil = leaseUntil;
     OperationId operation =
-        new OperationId("ledger/" + life.daemon() + "/" + life.incarnation() + "/" + ++operations);
+        new OperationId("ledger/" + self.daemon() + "/" + self.incarnation() + "/" + ++operations);
     if (version == 0) {
-      creating = operation.value();
+      createOperation = operation.value();
     }
     platform
         .put(KIND, NAME, MembersCodec.json(changed), version, operation)
         .whenComplete(
             (answer, failure) ->
-                locked.execute(() -> written(changed, operation, answer, sentUntil)));
+                locked.execute(() -> writeCompleted(changed, operation, answer, sentUntil)));
   }
 
-  private void written(
+  private void writeCompleted(
       Set<LedgerMember> changed, OperationId operation, WriteAnswer answer, long sentUntil) {
-    calling = false;
+    callInProgress = false;
     long now = clock.millis();
-    // Unless it was stored, only a read tells what the next write has to be conditional on.
+    // After a failed write only a read returns the version for the next conditional write.
     nextReadAt = now;
     if (answer instanceof WriteAnswer.Stored stored) {
-      nextReadAt = now + READ_EVERY_MS;
-      created |= operation.value().equals(creating);
-      known(stored.version(), changed);
+      nextReadAt = now + READ_INTERVAL_MS;
+      createdMembership |= operation.value().equals(createOperation);
+      update(stored.version(), changed);
       confirmed = isMember() && now < sentUntil;
     } else if (answer instanceof WriteAnswer.Throttled throttled) {
-      nextWriteAt = now + Math.max(RETRY_MS, throttled.retryAfterMillis());
+      nextWriteAt = now + Math.max(MIN_RETRY_DELAY_MS, throttled.retryAfterMillis());
     } else if (!(answer instanceof WriteAnswer.Conflict)) {
-      nextWriteAt = now + READ_EVERY_MS;
+      nextWriteAt = now + READ_INTERVAL_MS;
     }
   }
 
   private void read() {
-    calling = true;
+    callInProgress = true;
     platform
         .read(KIND, NAME)
-        .whenComplete((stored, failure) -> locked.execute(() -> wasRead(stored, failure)));
+        .whenComplete((stored, failure) -> locked.execute(() -> readCompleted(stored, failure)));
   }
 
-  private void wasRead(Optional<StoredObject> stored, Throwable failure) {
-    calling = false;
-    nextReadAt = clock.millis() + READ_EVERY_MS;
+  private void readCompleted(Optional<StoredObject> stored, Throwable failure) {
+    callInProgress = false;
+    nextReadAt = clock.millis() + READ_INTERVAL_MS;
     if (failure != null) {
       return;
     }
@@ -198,12 +201,12 @@
       return;
     }
     StoredObject object = stored.get();
-    // The answer to the write that made the object may have been lost.
-    created |= !creating.isEmpty() && object.operation().equals(creating);
-    MembersCodec.members(object.value()).ifPresent(read -> known(object.version(), read));
+    // The answer to the write that created the object may have been lost.
+    createdMembership |= !createOperation.isEmpty() && object.operation().equals(createOperation);
+    MembersCodec.members(object.value()).ifPresent(read -> update(object.version(), read));
   }
 
-  private void known(long newVersion, Set<LedgerMember> newMembers) {
+  private void update(long newVersion, Set<LedgerMember> newMembers) {
     if (newVersion <= version) {
       return;
     }
@@ -215,8 +218,8 @@
     } else if (joined && !leaving) {
       joined = false;
       confirmed = false;
-      anew = true;
-      life = new LedgerMember(life.daemon(), Math.max(life.incarnation() + 1, wallMillis()));
+      incarnationChanged = true;
+      self = new LedgerMember(self.daemon(), Math.max(self.incarnation() + 1, wallMillis()));
     }
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerNode.java
@@ -32,7 +32,7 @@
 import java.util.function.Consumer;
 
 /**
- * Drives this daemon's {@link Ledger} and the starts that its own callers' requests wait for.
+ * Runs this daemon's {@link Ledger} and records the starts of its own callers' requests.
  *
  * <pre>{@code
  * LedgerNode node = new LedgerNode(self, incarnation, settings, firstInstall, ...);
@@ -40,8 +40,8 @@
  * node.record(request, refusal -> answerOwner(refusal));
  * }</pre>
  *
- * <p>Safe for use by several threads: one lock guards the decisions, nothing is waited for under
- * it, and answers are told by the executor, since their receivers take locks of their own.
+ * <p>Safe for use by several threads: one lock guards all state, and no call blocks under it. The
+ * executor delivers replies, since their receivers take locks of their own.
  */
 public final class LedgerNode implements StartRecords {
 
@@ -58,20 +58,20 @@
   private final Map<Holder, RequestId> requests = new HashMap<>();
   private final Deque<LedgerSend> outbox = new ArrayDeque<>();
   private Ledger ledger;
-  private LedgerHomes homes;
-  private long fedVersion = -1;
+  private LedgerHomes replicas;
+  private long appliedVersion = -1;
 
   /**
-   * Makes a node that is no member yet.
+   * Creates a node that is not yet a member.
    *
-   * @param self this life of the daemon
-   * @param settings times and limits of the ledger
-   * @param firstInstall whether the operators say that no earlier fleet kept keys
-   * @param clock the clock of all times
-   * @param platform holds the membership
-   * @param leases tells how leases stand
-   * @param peers sends to other daemons
-   * @param executor tells answers
+   * @param self this incarnation of the daemon
+   * @param settings timeouts and limits of the ledger
+   * @param firstInstall whether the operators declare that no earlier fleet has recorded keys
+   * @param clock the clock of all timestamps
+   * @param platform stores the membership
+   * @param leases the state of the daemons' leases
+   * @param peers sends messages to other daemons
+   * @param executor delivers replies
    */
   public LedgerNode(
       LedgerMember self,
@@ -89,24 +89,24 @@
     this.peers = Objects.requireNonNull(peers, "peers");
     this.executor = Objects.requireNonNull(executor, "executor");
     this.members = new LedgerMembers(self, clock, platform, leases, this::locked);
-    this.homes = new LedgerHomes(ranking, Set.of());
+    this.replicas = new LedgerHomes(ranking, Set.of());
     this.ledger = new Ledger(self, settings, ranking, clock.millis());
   }
 
-  /** Lets time pass; to be called every 50 ms or so. */
+  /** Runs due timers; to be called about every 50 ms. */
   public void tick() {
     locked(
         () -> {
           long now = clock.millis();
           members.tick(now);
-          membership(now);
+          updateMembership(now);
           ledger.authorityUntil(members.authorityUntil());
           outbox.addAll(ledger.tick(now));
           List.copyOf(starts.values()).forEach(start -> tick(start, now));
         });
   }
 
-  /** Leaves the membership: this daemon stops as planned, and decides about no key any more. */
+  /** Leaves the membership for a planned stop; this daemon decides about no further keys. */
   public void leave() {
     locked(
         () -> {
@@ -116,61 +116,61 @@
   }
 
   /**
-   * Takes a message of another daemon.
+   * Handles a message from another daemon.
    *
    * @param peer the daemon
    * @param message the message
    */
   public void received(DaemonId peer, LedgerMessage message) {
-    locked(() -> take(peer, message));
+    locked(() -> handle(peer, message));
   }
 
-  private void membership(long now) {
-    if (members.startedAnew()) {
-      // Others went on without this life: what it knows may be out of date, so it forgets it.
-      ledger = new Ledger(members.life(), settings, ranking, now);
-      fedVersion = -1;
+  private void updateMembership(long now) {
+    if (members.takeIncarnationChange()) {
+      // The others continued without the old incarnation, so its records may be out of date.
+      ledger = new Ledger(members.self(), settings, ranking, now);
+      appliedVersion = -1;
     }
-    if (members.version() <= fedVersion) {
+    if (members.version() <= appliedVersion) {
       return;
     }
     LedgerHomes next = new LedgerHomes(ranking, members.members());
-    if (!next.equals(homes)) {
-      homes = next;
-      starts.values().forEach(start -> start.homeMoved(now));
+    if (!next.equals(replicas)) {
+      replicas = next;
+      starts.values().forEach(start -> start.primaryChanged(now));
     }
     if (members.isMember()) {
-      if (members.createdIt() && firstInstall) {
+      if (members.createdMembership() && firstInstall) {
         ledger.nothingBefore();
       }
-      fedVersion = members.version();
-      outbox.addAll(ledger.membersChanged(new LedgerView(fedVersion, members.members()), now));
+      appliedVersion = members.version();
+      outbox.addAll(ledger.membersChanged(new LedgerView(appliedVersion, members.members()), now));
     }
   }
 
-  private void take(DaemonId from, LedgerMessage message) {
+  private void handle(DaemonId from, LedgerMessage message) {
     long now = clock.millis();
     if (message instanceof LedgerMessage.Answer answer) {
-      answered(answer, now);
-    } else if (message instanceof LedgerMessage.AskHolder ask) {
-      asked(from, ask);
+      handleAnswer(answer, now);
+    } else if (message instanceof LedgerMessage.AskHolder query) {
+      handleQuery(from, query);
     } else {
       outbox.addAll(ledger.receive(from, message, now));
     }
   }
 
-  /** A message to itself is taken here, so that a home need not be another daemon. */
+  /** Messages to this daemon are handled directly, since it may itself be a replica of the key. */
   private void sendAll() {
     for (LedgerSend send = outbox.poll(); send != null; send = outbox.poll()) {
       if (send.to().equals(self)) {
-        take(self, send.message());
+        handle(self, send.message());
       } else {
         peers.send(send.to(), new PeerMessage.Ledger(send.message()));
       }
     }
   }
 
-  // The entry's side.
+  // Entry side: starts of this daemon's own callers' requests.
 
   @Override
   public void record(CallerRequest request, Consumer<Optional<ErrorKind>> answer) {
@@ -178,8 +178,8 @@
         () -> {
           long now = clock.millis();
           if (request.deadlineMs() - now > settings.maxDeadlineMillis()) {
-            // Its record would be forgotten before it ends.
-            tell(Optional.of(answer), Optional.of(ErrorKind.BAD_DEADLINE));
+            // The record would be evicted before the request ends.
+            reply(Optional.of(answer), Optional.of(ErrorKind.BAD_DEADLINE));
             return;
           }
           KeyedStart start = starts.computeIfAbsent(request.id(), id -> start(request));
@@ -189,7 +189,7 @@
   }
 
   private KeyedStart start(CallerRequest request) {
-    Holder holder = new Holder(members.life(), new OperationId(request.id().value()));
+    Holder holder = new Holder(members.self(), new OperationId(request.id().value()));
     requests.put(holder, request.id());
     return new KeyedStart(request.key().orElseThrow(), WorkDigest.of(request.work()), holder);
   }
@@ -207,27 +207,31 @@
   }
 
   private void tick(KeyedStart start, long now) {
-    if (start.isTooLate(now)) {
+    if (start.isTimedOut(now)) {
       if (start.isFinishing()) {
-        forget(start);
+        remove(start);
       } else {
         refuse(start, ErrorKind.LEDGER_UNAVAILABLE);
       }
     } else if (start.isDue(now)) {
       LedgerMessage message = start.message(now);
-      homes.home(start.key()).ifPresent(home -> outbox.add(new LedgerSend(home.daemon(), message)));
+      replicas
+          .home(start.key())
+          .ifPresent(primary -> outbox.add(new LedgerSend(primary.daemon(), message)));
     }
   }
 
-  private void asked(DaemonId home, LedgerMessage.AskHolder ask) {
-    Optional<KeyedStart> start = start(ask.holder());
+  private void handleQuery(DaemonId replica, LedgerMessage.AskHolder query) {
+    Optional<KeyedStart> start = start(query.holder());
     if (start.isPresent()) {
-      outbox.add(new LedgerSend(home, start.get().standing(ask)));
-    } else if (ask.holder().entry().equals(members.life())) {
-      // It has ended here, and what was known of its end was given up or is already kept: nobody
-      // but this entry could start it, so a home that holds it open may close it.
-      LedgerMessage ended = new LedgerMessage.Finish(ask.key(), ask.holder(), OutcomeClass.UNKNOWN);
-      outbox.add(new LedgerSend(home, ended));
+      outbox.add(new LedgerSend(replica, start.get().status(query)));
+    } else if (query.holder().entry().equals(members.self())) {
+      // The request has ended here, and its outcome was either stored or timed out unconfirmed.
+      // Only
+      // this entry could start it, so a replica that holds it open may close it.
+      LedgerMessage ended =
+          new LedgerMessage.Finish(query.key(), query.holder(), OutcomeClass.UNKNOWN);
+      outbox.add(new LedgerSend(replica, ended));
     }
   }
 
@@ -235,30 +239,30 @@
     return Optional.ofNullable(requests.get(holder)).map(starts::get);
   }
 
-  private void answered(LedgerMessage.Answer answer, long now) {
+  private void handleAnswer(LedgerMessage.Answer answer, long now) {
     KeyedStart start = start(answer.holder()).orElse(null);
-    if (start == null || !start.isWaiting()) {
+    if (start == null || !start.isPending()) {
       return;
     }
     Optional<ErrorKind> refusal = answer.refusal();
     if (refusal.isEmpty()) {
-      allowed(start, answer.step(), now);
+      stepConfirmed(start, answer.step(), now);
     } else if (refusal.get() == ErrorKind.LEDGER_UNAVAILABLE) {
-      start.again();
+      start.restart();
     } else if (!start.isFinishing()) {
       refuse(start, refusal.get());
-      // Another request has the key; there is nothing of this one to be finished.
-      forget(start);
+      // Another request holds the key, so this one has no record to finish.
+      remove(start);
     }
   }
 
-  private void allowed(KeyedStart start, LedgerMessage.Step step, long now) {
+  private void stepConfirmed(KeyedStart start, LedgerMessage.Step step, long now) {
     boolean finishing = start.isFinishing();
-    if (start.done(step, now)) {
+    if (start.confirm(step, now)) {
       if (finishing) {
-        forget(start);
+        remove(start);
       } else {
-        tell(start.takeListener(), Optional.empty());
+        reply(start.takeListener(), Optional.empty());
       }
     } else {
       tick(start, now);
@@ -266,15 +270,16 @@
   }
 
   private void refuse(KeyedStart start, ErrorKind kind) {
-    start.rest();
-    tell(start.takeListener(), Optional.of(kind));
+    start.cancel();
+    reply(start.takeListener(), Optional.of(kind));
   }
 
-  private void tell(Optional<Consumer<Optional<ErrorKind>>> listener, Optional<ErrorKind> refusal) {
-    listener.ifPresent(hears -> executor.execute(() -> hears.accept(refusal)));
+  private void reply(
+      Optional<Consumer<Optional<ErrorKind>>> listener, Optional<ErrorKind> refusal) {
+    listener.ifPresent(receiver -> executor.execute(() -> receiver.accept(refusal)));
   }
 
-  private void forget(KeyedStart start) {
+  private void remove(KeyedStart start) {
     Optional.ofNullable(requests.remove(start.holder())).ifPresent(starts::remove);
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerPeers.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerPeers.java
@@ -3,7 +3,7 @@
 import io.sequoiapass.coordination.DaemonId;
 import io.sequoiapass.daemon.connection.peer.PeerMessage;
 
-/** Sends to other daemons; safe for use by several threads. */
+/** Sends ledger messages to other daemons; safe for use by several threads. */
 @FunctionalInterface
 public interface LedgerPeers {
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/MembersCodec.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/MembersCodec.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Maps the members of the ledger to their object on the platform. */
+/** Converts the members of the ledger to and from their JSON object on the platform. */
 final class MembersCodec {
 
   private static final Gson GSON = new Gson();
@@ -19,18 +19,20 @@
   private MembersCodec() {}
 
   static JsonObject json(Set<LedgerMember> members) {
-    Map<String, Long> lives = new TreeMap<>();
-    members.forEach(member -> lives.put(member.daemon().value(), member.incarnation()));
-    return GSON.toJsonTree(new MembersValue(lives)).getAsJsonObject();
+    Map<String, Long> incarnations = new TreeMap<>();
+    members.forEach(member -> incarnations.put(member.daemon().value(), member.incarnation()));
+    return GSON.toJsonTree(new MembersValue(incarnations)).getAsJsonObject();
   }
 
-  /** Returns the members; empty if the value cannot be read. */
+  /** Returns the members; empty if the value is malformed. */
   static Optional<Set<LedgerMember>> members(JsonObject value) {
     try {
       Set<LedgerMember> members = new TreeSet<>();
       GSON.fromJson(value, MembersValue.class)
           .members()
-          .forEach((daemon, life) -> members.add(new LedgerMember(new DaemonId(daemon), life)));
+          .forEach(
+              (daemon, incarnation) ->
+                  members.add(new LedgerMember(new DaemonId(daemon), incarnation)));
       return Optional.of(members);
     } catch (JsonParseException | IllegalArgumentException | NullPointerException unreadable) {
       return Optional.empty();
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/WorkDigest.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/WorkDigest.java
@@ -6,7 +6,7 @@
 import org.apache.commons.codec.binary.Hex;
 import org.apache.commons.codec.digest.DigestUtils;
 
-/** Sums up what a request asks for, so that one key with two bodies is told apart. */
+/** Digest of a request's work, used to detect an idempotency key reused with another body. */
 final class WorkDigest {
 
   private static final byte SEPARATOR = 0;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/package-info.java
@@ -1,2 +1,2 @@
-/** The record of idempotency keys: its members, its messages, and the entry's side of it. */
+/** Idempotency ledger: its membership, its messages, and the entry side of the protocol. */
 package io.sequoiapass.daemon.process.ledger;
