--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/AffinityRoutes.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/AffinityRoutes.java
@@ -21,39 +21,42 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Ranks endpoints so that an adapter's requests meet on the same one whatever entry they came
- * through, without a message; hints that ride on answers move them away from full endpoints.
+ * Routes by rendezvous hashing, so that all entries send an adapter's requests to the same endpoint
+ * without exchanging messages. Load hints carried by answers divert requests from full endpoints.
  *
  * <p>Safe for use by several threads.
  */
 public final class AffinityRoutes implements Routes {
 
-  /** A hint older than this says nothing: an endpoint's load changes within a few answers. */
+  /** Older hints are ignored, since an endpoint's load changes within a few answers. */
   private static final long MAX_HINT_AGE_MS = 2_000;
 
-  /** Three half-lives of demand: an endpoint that a hot adapter moved to counts it from nothing. */
-  private static final long HOT_FOR_MS = 450_000;
+  /**
+   * Three half-lives of demand: an endpoint that receives a hot adapter starts to count its demand
+   * at zero, so the adapter has to stay hot until that count has caught up.
+   */
+  private static final long HOT_RETENTION_MS = 450_000;
 
   private static final int ONE_COPY = 1;
 
-  /** Orders kept: more adapters than one entry sees in an hour, at about 200 bytes each. */
-  private static final int MAX_ORDERS = 8_192;
+  /** More adapters than one entry receives in an hour; about 200 bytes each. */
+  private static final int MAX_CACHED_RANKINGS = 8_192;
 
   private final MillisClock clock;
   private final Owners owners;
   private final Channels channels;
   private volatile Router router;
-  private final HotAdapters hotAdapters = new HotAdapters(HOT_FOR_MS);
+  private final HotAdapters hotAdapters = new HotAdapters(HOT_RETENTION_MS);
   private final Map<EndpointId, Hint> hints = new ConcurrentHashMap<>();
-  private volatile Orders orders = new Orders(List.of());
+  private volatile RankingCache rankings = new RankingCache(List.of());
 
   /**
-   * Makes routes.
+   * Creates routes without hints.
    *
-   * @param clock tells how old hints are
-   * @param weights what the operators weigh more heavily
-   * @param owners tells who serves an endpoint
-   * @param channels finds the connection to it
+   * @param clock measures the age of hints
+   * @param weights the placement weights
+   * @param owners finds the daemon that serves an endpoint
+   * @param channels finds the connection to that daemon
    */
   public AffinityRoutes(
       MillisClock clock, PlacementWeights weights, Owners owners, Channels channels) {
@@ -64,18 +67,18 @@
   }
 
   /**
-   * Changes what the routes weigh, after a change of the preset in force.
+   * Replaces the placement weights after a change of the active preset.
    *
-   * @param weights what counts more
+   * @param weights the new weights
    */
   public void weigh(PlacementWeights weights) {
     router = new Router(MAX_HINT_AGE_MS, weights.denseShare());
-    // The kept orders say which endpoints hot adapters share, and another share moves them.
-    orders = new Orders(List.of());
+    // Cached rankings depend on the share of endpoints that hot adapters use.
+    rankings = new RankingCache(List.of());
   }
 
   @Override
-  public void learn(List<EndpointLoad> loads) {
+  public void updateLoads(List<EndpointLoad> loads) {
     long now = clock.millis();
     for (EndpointLoad load : loads) {
       hints.put(load.endpoint(), new Hint(load, now));
@@ -102,85 +105,87 @@
     if (preferred.isPresent()) {
       return preferred;
     }
-    return first(without(avoid, rank(target, snapshot)), snapshot)
-        .or(() -> beyondTheFirst(target, snapshot, avoid));
+    return firstRoute(exclude(avoid, rank(target, snapshot)), snapshot)
+        .or(() -> findAmongAll(target, snapshot, avoid));
   }
 
-  private Optional<Route> beyondTheFirst(
+  private Optional<Route> findAmongAll(
       RouteTarget target, ConfigurationSnapshot snapshot, Set<EndpointId> avoid) {
-    List<EndpointId> all = byAffinity(target, snapshot, false);
-    return first(without(avoid, all), snapshot).or(() -> first(all, snapshot));
+    List<EndpointId> all = rankByAffinity(target, snapshot, false);
+    return firstRoute(exclude(avoid, all), snapshot).or(() -> firstRoute(all, snapshot));
   }
 
-  private static List<EndpointId> without(Set<EndpointId> avoid, List<EndpointId> ranked) {
+  private static List<EndpointId> exclude(Set<EndpointId> avoid, List<EndpointId> ranked) {
     return ranked.stream().filter(one -> !avoid.contains(one)).toList();
   }
 
-  /** Ranks the few endpoints that the target's affinity puts first by what hints say of them. */
+  /** Ranks the few endpoints with the highest affinity by their load hints. */
   private List<EndpointId> rank(RouteTarget target, ConfigurationSnapshot snapshot) {
     if (!(target instanceof RouteTarget.Engine engine)) {
-      return byAffinity(target, snapshot, false);
+      return rankByAffinity(target, snapshot, false);
     }
     boolean hot = isHot(engine.adapter());
-    List<Router.Candidate> weighed =
-        firstByAffinity(engine, snapshot, hot).stream().map(this::weigh).toList();
-    return router.byHints(engine.adapter(), hot, weighed);
+    List<Router.Candidate> candidates =
+        topByAffinity(engine, snapshot, hot).stream().map(this::candidate).toList();
+    return router.byHints(engine.adapter(), hot, candidates);
   }
 
   /**
-   * Hashing and sorting all of a region's 2,000 endpoints takes a millisecond, which at 65 requests
-   * a second is more of a core than all control may use. An adapter's order changes only with the
-   * endpoints themselves, so it is kept until they do.
+   * Returns the first endpoints of an adapter's ranking. Hashing and sorting the 2,000 endpoints of
+   * a region takes 1 ms, which at 65 requests per second exceeds the share of a core that all
+   * control work may use. A ranking depends only on the endpoints, so it is cached until they
+   * change.
    */
-  private List<EndpointId> firstByAffinity(
+  private List<EndpointId> topByAffinity(
       RouteTarget.Engine target, ConfigurationSnapshot snapshot, boolean hot) {
     List<EndpointRecord> endpoints = snapshot.endpoints();
-    Orders known = orders;
-    if (known.endpoints != endpoints) {
-      known = new Orders(endpoints);
-      orders = known;
+    RankingCache cache = rankings;
+    if (cache.endpoints != endpoints) {
+      cache = new RankingCache(endpoints);
+      rankings = cache;
     }
-    if (known.byAffinity.size() >= MAX_ORDERS) {
-      // Popularity has moved on; what is asked for now is hashed again at a small cost each.
-      known.byAffinity.clear();
+    if (cache.byAffinity.size() >= MAX_CACHED_RANKINGS) {
+      // Adapter popularity drifts, so old entries are rarely used; ranking one again takes 1 ms.
+      cache.byAffinity.clear();
     }
-    return known.byAffinity.computeIfAbsent(
-        new Order(target.adapter(), hot),
-        order -> {
-          List<EndpointId> all = byAffinity(target, snapshot, hot);
-          int places = hot ? all.size() : router.ownPlaces(false, all.size());
-          return List.copyOf(all.subList(0, Math.min(Router.CHOICES, places)));
+    return cache.byAffinity.computeIfAbsent(
+        new RankingKey(target.adapter(), hot),
+        key -> {
+          List<EndpointId> all = rankByAffinity(target, snapshot, hot);
+          int available = hot ? all.size() : router.ownPlaces(false, all.size());
+          return List.copyOf(all.subList(0, Math.min(Router.CHOICES, available)));
         });
   }
 
-  private List<EndpointId> byAffinity(
+  private List<EndpointId> rankByAffinity(
       RouteTarget target, ConfigurationSnapshot snapshot, boolean hot) {
     List<EndpointId> candidates = new ArrayList<>();
     for (EndpointRecord endpoint : snapshot.endpoints()) {
-      if (endpoint.takesNewWork() && runs(endpoint, target)) {
+      if (endpoint.takesNewWork() && canRun(endpoint, target)) {
         candidates.add(endpoint.id());
       }
     }
     if (target instanceof RouteTarget.Engine engine) {
-      List<Router.Candidate> unweighed = candidates.stream().map(AffinityRoutes::plain).toList();
-      return router.rank(engine.adapter(), ONE_COPY, hot, unweighed);
+      List<Router.Candidate> unhinted =
+          candidates.stream().map(AffinityRoutes::candidateWithoutHint).toList();
+      return router.rank(engine.adapter(), ONE_COPY, hot, unhinted);
     }
     return RendezvousHash.rank(target.affinity(), candidates);
   }
 
-  private static Router.Candidate plain(EndpointId endpoint) {
+  private static Router.Candidate candidateWithoutHint(EndpointId endpoint) {
     return new Router.Candidate(endpoint, 1, Optional.empty(), Long.MAX_VALUE);
   }
 
-  private Router.Candidate weigh(EndpointId endpoint) {
+  private Router.Candidate candidate(EndpointId endpoint) {
     Hint hint = hints.get(endpoint);
     return hint == null
-        ? plain(endpoint)
+        ? candidateWithoutHint(endpoint)
         : new Router.Candidate(
-            endpoint, 1, Optional.of(hint.load()), clock.millis() - hint.learntAtMs());
+            endpoint, 1, Optional.of(hint.load()), clock.millis() - hint.receivedAtMs());
   }
 
-  private static boolean runs(EndpointRecord endpoint, RouteTarget target) {
+  private static boolean canRun(EndpointRecord endpoint, RouteTarget target) {
     if (target instanceof RouteTarget.Engine engine) {
       return endpoint.type() == EndpointType.ENGINE
           && endpoint.model().filter(engine.model()::equals).isPresent();
@@ -190,7 +195,7 @@
         && endpoint.service().filter(service.service()::equals).isPresent();
   }
 
-  private Optional<Route> first(List<EndpointId> ranked, ConfigurationSnapshot snapshot) {
+  private Optional<Route> firstRoute(List<EndpointId> ranked, ConfigurationSnapshot snapshot) {
     return ranked.stream()
         .map(snapshot::endpoint)
         .flatMap(Optional::stream)
@@ -206,18 +211,18 @@
         .map(channel -> new Route(endpoint.id(), channel));
   }
 
-  /** Keeps the orders of adapters for one set of endpoints. */
-  private static final class Orders {
+  /** Rankings by adapter for one list of endpoints. */
+  private static final class RankingCache {
     private final List<EndpointRecord> endpoints;
-    private final Map<Order, List<EndpointId>> byAffinity = new ConcurrentHashMap<>();
+    private final Map<RankingKey, List<EndpointId>> byAffinity = new ConcurrentHashMap<>();
 
-    Orders(List<EndpointRecord> endpoints) {
+    RankingCache(List<EndpointRecord> endpoints) {
       this.endpoints = endpoints;
     }
   }
 
-  /** Names an adapter's order: while it is hot it has another one. */
-  private record Order(AdapterVersion adapter, boolean hot) {}
+  /** Cache key; a hot adapter has its own ranking. */
+  private record RankingKey(AdapterVersion adapter, boolean hot) {}
 
-  private record Hint(EndpointLoad load, long learntAtMs) {}
+  private record Hint(EndpointLoad load, long receivedAtMs) {}
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/CallerHandler.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/CallerHandler.java
@@ -10,13 +10,13 @@
 import io.sequoiapass.daemon.request.CallerRequest;
 import io.sequoiapass.daemon.request.CallerRequestParser;
 import io.sequoiapass.daemon.request.ErrorAnswer;
-import io.sequoiapass.daemon.request.Refusal;
+import io.sequoiapass.daemon.request.InvalidRequestException;
 import java.util.Objects;
 import java.util.Optional;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
-/** Answers callers over HTTP; safe for use by several threads. */
+/** HTTP handler for requests of callers; safe for use by several threads. */
 public final class CallerHandler implements HttpHandler {
 
   private final CallerRequestParser parser;
@@ -26,13 +26,13 @@
   private final Entries entries;
 
   /**
-   * Makes a handler.
+   * Creates a handler.
    *
-   * @param parser reads requests
-   * @param snapshots gives the configuration as it stands
-   * @param closed tells why no request is taken now, if none is
-   * @param admitted tells which priorities the preset in force admits
-   * @param entries drives requests
+   * @param parser parses requests
+   * @param snapshots supplies the current configuration
+   * @param closed supplies the reason why all requests are rejected; empty while they are accepted
+   * @param admitted tests whether the active preset admits a priority
+   * @param entries processes accepted requests
    */
   public CallerHandler(
       CallerRequestParser parser,
@@ -73,16 +73,16 @@
     CallerRequest request;
     try {
       request = parser.parse(message, snapshot);
-    } catch (Refusal refusal) {
-      ErrorAnswer.refuse(responder, refusal.kind(), refusal.getMessage());
+    } catch (InvalidRequestException invalid) {
+      ErrorAnswer.refuse(responder, invalid.kind(), invalid.getMessage());
       return;
     }
     if (!admitted.test(request.priority())) {
-      // Refused before any hop: what the preset leaves out must cost nothing at a peak.
+      // Rejected before any hop, so that excluded priorities add no load during a peak.
       ErrorAnswer.refuse(
           responder,
           ErrorKind.OVERLOADED,
-          "the preset in force admits no work of priority " + request.priority());
+          "the active preset does not admit requests of priority " + request.priority());
       return;
     }
     entries.accept(request, snapshot, responder);
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/Channels.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/Channels.java
@@ -4,7 +4,7 @@
 import io.sequoiapass.daemon.connection.peer.PeerChannel;
 import java.util.Optional;
 
-/** Finds the open connection to a daemon, this one included; safe for use by several threads. */
+/** Looks up open connections to daemons, including this one; safe for use by several threads. */
 @FunctionalInterface
 public interface Channels {
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EndpointResults.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EndpointResults.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /**
- * Tells the health of endpoints how each attempt on them ended, once for each.
+ * Reports the result of each attempt to the health record of its endpoint, exactly once.
  *
  * <p>Guarded by the lock of its shard.
  */
@@ -21,13 +21,13 @@
   private final EndpointHealth health = new EndpointHealth(HealthSettings.DEFAULT);
   private final Map<AttemptId, EndpointId> open = new HashMap<>();
 
-  /** Returns the endpoints that get no request now because those before failed. */
-  Set<EndpointId> leftOut(long nowMs) {
+  /** Returns the endpoints that receive no requests because earlier requests failed on them. */
+  Set<EndpointId> excluded(long nowMs) {
     return health.leftOut(nowMs);
   }
 
-  /** Returns whether another attempt of the same request is under way on an endpoint. */
-  boolean isUnderWay(AttemptId attempt, EndpointId endpoint) {
+  /** Returns whether another attempt of the same request is in flight on an endpoint. */
+  boolean hasOtherAttempt(AttemptId attempt, EndpointId endpoint) {
     return open.entrySet().stream()
         .anyMatch(
             other ->
@@ -36,14 +36,14 @@
                     && other.getKey().attempt() != attempt.attempt());
   }
 
-  /** Notes that an attempt goes to an endpoint, or was moved there by its owner. */
+  /** Records that an attempt was sent to an endpoint, or moved there by its owner. */
   void sent(AttemptId attempt, EndpointId endpoint, long nowMs) {
     withdrawn(attempt, nowMs);
     open.put(attempt, endpoint);
     health.sent(endpoint, nowMs);
   }
 
-  /** Takes what an owner's frame says of the endpoint. */
+  /** Updates the endpoint's health from an owner's frame. */
   void received(PeerMessage.OfAttempt message, long nowMs) {
     if (message instanceof PeerMessage.Started started) {
       sent(started.id(), started.endpoint(), nowMs);
@@ -58,10 +58,10 @@
   }
 
   private void refused(PeerMessage.Refused refused, long nowMs) {
-    boolean gone =
+    boolean unavailable =
         refused.kind() == ErrorKind.ENDPOINT_LOST_BEFORE_START
             || refused.kind() == ErrorKind.NO_ENDPOINT;
-    if (gone) {
+    if (unavailable) {
       failed(refused.id(), nowMs);
     } else {
       withdrawn(refused.id(), nowMs);
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Notes that an attempt ended without telling anything of its endpoint. */
+  /** Records that an attempt ended without evidence about the health of its endpoint. */
   void withdrawn(AttemptId attempt, long nowMs) {
     EndpointId endpoint = open.remove(attempt);
     if (endpoint != null) {
@@ -90,8 +90,8 @@
     }
   }
 
-  /** Notes that a request is over; what of it is still under way tells nothing. */
-  void over(EntryRequest entry, long nowMs) {
+  /** Ends a request; attempts still in flight do not count for or against their endpoints. */
+  void requestEnded(EntryRequest entry, long nowMs) {
     for (int attempt : List.copyOf(entry.routes().keySet())) {
       withdrawn(entry.attempt(attempt), nowMs);
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/Entries.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/Entries.java
@@ -8,13 +8,13 @@
 import io.sequoiapass.daemon.request.CallerRequest;
 import java.util.List;
 
-/** Spreads requests over shards by their ids; safe for use by several threads. */
+/** Distributes requests over shards by request id; safe for use by several threads. */
 public final class Entries {
 
   private final List<EntryShard> shards;
 
   /**
-   * Makes a spread.
+   * Creates a distributor over shards.
    *
    * @param shards the shards
    */
@@ -23,10 +23,10 @@
   }
 
   /**
-   * Takes a request.
+   * Accepts a request.
    *
    * @param request the request
-   * @param snapshot the configuration that it was read against
+   * @param snapshot the configuration that it was parsed against
    * @param responder the caller's connection
    */
   public void accept(
@@ -35,16 +35,16 @@
   }
 
   /**
-   * Takes a frame from an owner.
+   * Handles a frame from an owner.
    *
-   * @param channel where it came from
+   * @param channel the connection to the owner
    * @param message the frame
    */
   public void received(PeerChannel channel, PeerMessage.OfAttempt message) {
     EntryShard shard = shard(message.id().request());
-    if (message instanceof PeerMessage.MayStart && !shard.has(message.id().request())) {
-      // The request has ended: its caller was told an outcome that a start now would belie. The
-      // owner holds a place for it until it hears, so silence would waste that place.
+    if (message instanceof PeerMessage.MayStart && !shard.contains(message.id().request())) {
+      // The request has ended, and a start would contradict the outcome sent to its caller. Without
+      // a reply the owner would keep a stream slot reserved for it.
       channel.send(new PeerMessage.StartAnswer(message.id(), false));
       return;
     }
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Takes that the connection to an owner has closed.
+   * Handles the loss of the connection to an owner.
    *
    * @param channel the connection
    */
@@ -60,12 +60,12 @@
     shards.forEach(shard -> shard.ownerLost(channel));
   }
 
-  /** Lets time pass; to be called every 10 to 50 ms. */
+  /** Runs due timers; to be called every 10 to 50 ms. */
   public void tick() {
     shards.forEach(EntryShard::tick);
   }
 
-  /** Returns the number of requests under way. */
+  /** Returns the number of requests in flight. */
   public int size() {
     return shards.stream().mapToInt(EntryShard::size).sum();
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EntryObserver.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EntryObserver.java
@@ -4,7 +4,7 @@
 import io.sequoiapass.coordination.request.Outcome;
 import io.sequoiapass.daemon.request.CallerRequest;
 
-/** Hears of the stages of requests; called under a shard's lock, must not block. */
+/** Receives the stages of requests; called under a shard's lock, so it must not block. */
 public interface EntryObserver {
 
   /**
@@ -19,7 +19,7 @@
    *
    * @param request the request
    * @param attempt its number
-   * @param endpoint where it goes
+   * @param endpoint its endpoint
    */
   void routed(CallerRequest request, int attempt, EndpointId endpoint);
 
@@ -31,7 +31,7 @@
   void firstToken(CallerRequest request);
 
   /**
-   * Called when the caller was told the outcome.
+   * Called when a request has ended, before its outcome is sent to the caller.
    *
    * @param request the request
    * @param outcome the outcome
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EntryRequest.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EntryRequest.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Holds one request at its entry; guarded by the lock of its shard. */
+/** State of one request at its entry daemon; guarded by the lock of its shard. */
 final class EntryRequest {
 
   private final CallerRequest request;
   private final ConfigurationSnapshot snapshot;
   private final RequestAttempts attempts;
   private final CallerAnswer answer;
-  private final long acceptedAt;
+  private final long acceptedAtMs;
   private final Map<Integer, Route> routes = new HashMap<>();
   private Optional<PeerMessage.ServiceAnswer> serviceAnswer = Optional.empty();
   private boolean firstTokenSeen;
@@ -31,12 +31,12 @@
       ConfigurationSnapshot snapshot,
       RequestAttempts attempts,
       CallerAnswer answer,
-      long acceptedAt) {
+      long acceptedAtMs) {
     this.request = request;
     this.snapshot = snapshot;
     this.attempts = attempts;
     this.answer = answer;
-    this.acceptedAt = acceptedAt;
+    this.acceptedAtMs = acceptedAtMs;
   }
 
   CallerRequest request() {
@@ -55,8 +55,8 @@
     return answer;
   }
 
-  long agedMs(long nowMs) {
-    return nowMs - acceptedAt;
+  long ageMs(long nowMs) {
+    return nowMs - acceptedAtMs;
   }
 
   AttemptId attempt(int number) {
@@ -67,7 +67,7 @@
     routes.put(attempt, route);
   }
 
-  void movedTo(int attempt, EndpointId endpoint) {
+  void endpointChanged(int attempt, EndpointId endpoint) {
     routes.computeIfPresent(attempt, (number, route) -> new Route(endpoint, route.owner()));
   }
 
@@ -79,7 +79,7 @@
     return routes;
   }
 
-  void hold(PeerMessage.ServiceAnswer received) {
+  void serviceAnswer(PeerMessage.ServiceAnswer received) {
     serviceAnswer = Optional.of(received);
   }
 
@@ -87,24 +87,24 @@
     return serviceAnswer;
   }
 
-  /** Returns what it runs on, or empty for a plain service. */
+  /** Returns the adapter version that the request runs on; empty for a plain service. */
   static Optional<AdapterVersion> runsOn(CallerRequest request) {
     return request.target() instanceof RouteTarget.Engine engine
         ? Optional.of(engine.adapter())
         : Optional.empty();
   }
 
-  /** Returns true the first time. */
-  boolean takeFirstToken() {
+  /** Returns true on the first call only. */
+  boolean markFirstToken() {
     boolean first = !firstTokenSeen;
     firstTokenSeen = true;
     return first;
   }
 
-  /** Notes whether the caller's connection takes more; returns whether that is news. */
-  boolean pause(boolean pause) {
-    boolean news = paused != pause;
+  /** Sets whether reading of the answer is paused; returns whether that changed. */
+  boolean setPaused(boolean pause) {
+    boolean changed = paused != pause;
     paused = pause;
-    return news;
+    return changed;
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EntryShard.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EntryShard.java
@@ -33,16 +33,19 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Drives the requests of some callers from their arrival to their outcome.
+ * Processes a share of the callers' requests from arrival to outcome.
  *
- * <p>Everything about a request happens under the shard's lock, so what goes to its caller keeps
- * its order. Writes to connections are queued there and block nothing. The shard calls no other
- * shard: an owner in the same process is reached through a channel like any other.
+ * <p>All state of a request changes under the shard's lock, so data sent to its caller stays in
+ * order. Connections queue writes, so no write blocks under the lock. A shard never calls another
+ * shard: it reaches an owner in the same process through a channel, like any other owner.
  */
 public final class EntryShard {
 
+  /** Covers one timer round of the owner, one of the entry, and the message between them. */
   private static final long PROOF_MARGIN_MS = 60;
-  private static final int PROOF_MARGIN_PART = 4;
+
+  /** Limits the margin to a quarter of a short deadline. */
+  private static final int PROOF_MARGIN_DIVISOR = 4;
 
   private final ReentrantLock lock = new ReentrantLock();
   private final Map<RequestId, EntryRequest> requests = new HashMap<>();
@@ -57,13 +60,13 @@
   private final FirstTokenTimes serviceTimes = new FirstTokenTimes();
 
   /**
-   * Makes a shard without requests.
+   * Creates a shard without requests.
    *
    * @param clock the clock of deadlines
-   * @param routes finds where attempts go
+   * @param routes finds the destinations of attempts
    * @param settings limits of a request's attempts
    * @param budget limits retries over all of the shard's requests
-   * @param observer hears of the stages of requests
+   * @param observer receives the stages of requests
    * @param records records the starts of requests with a key
    */
   public EntryShard(
@@ -82,10 +85,10 @@
   }
 
   /**
-   * Takes a request.
+   * Accepts a request.
    *
    * @param request the request
-   * @param snapshot the configuration that it was read against
+   * @param snapshot the configuration that it was parsed against
    * @param responder the caller's connection
    */
   public void accept(
@@ -103,7 +106,7 @@
     locked(
         () -> {
           RequestAttempts attempts =
-              new RequestAttempts(spec, settings, budget, times(request).hedging());
+              new RequestAttempts(spec, settings, budget, firstTokenTimes(request).hedging());
           CallerAnswer answer = new CallerAnswer(responder, request, runsOn);
           EntryRequest entry =
               new EntryRequest(request, snapshot, attempts, answer, clock.millis());
@@ -115,12 +118,12 @@
     responder.onWritable(() -> writable(request.id()));
   }
 
-  private FirstTokenTimes times(CallerRequest request) {
+  private FirstTokenTimes firstTokenTimes(CallerRequest request) {
     return request.target() instanceof RouteTarget.Engine ? engineTimes : serviceTimes;
   }
 
   /**
-   * Takes a frame from an owner.
+   * Handles a frame from an owner.
    *
    * @param message the frame
    */
@@ -129,17 +132,17 @@
         () -> {
           EntryRequest entry = requests.get(message.id().request());
           if (entry != null) {
-            take(entry, message);
+            handleFrame(entry, message);
           }
         });
   }
 
   /**
-   * Returns whether a request is under way here.
+   * Returns whether a request is in flight on this shard.
    *
    * @param request the request
    */
-  public boolean has(RequestId request) {
+  public boolean contains(RequestId request) {
     lock.lock();
     try {
       return requests.containsKey(request);
@@ -149,7 +152,7 @@
   }
 
   /**
-   * Takes that the connection to an owner has closed.
+   * Handles the loss of the connection to an owner.
    *
    * @param channel the connection
    */
@@ -165,26 +168,26 @@
                     .toList();
             for (int attempt : lost) {
               results.withdrawn(entry.attempt(attempt), clock.millis());
-              on(entry, new AttemptEvent.OwnerLost(attempt));
+              handle(entry, new AttemptEvent.OwnerLost(attempt));
             }
           }
         });
   }
 
-  /** Lets time pass; to be called every 10 to 50 ms. */
+  /** Runs due timers; to be called every 10 to 50 ms. */
   public void tick() {
     locked(
         () -> {
           long now = clock.millis();
           for (EntryRequest entry : List.copyOf(requests.values())) {
             if (now >= entry.attempts().nextTickMillis()) {
-              on(entry, new AttemptEvent.Tick());
+              handle(entry, new AttemptEvent.Tick());
             }
           }
         });
   }
 
-  /** Returns the number of requests under way. */
+  /** Returns the number of requests in flight. */
   public int size() {
     lock.lock();
     try {
@@ -195,20 +198,20 @@
   }
 
   private void event(RequestId id, AttemptEvent event) {
-    locked(() -> Optional.ofNullable(requests.get(id)).ifPresent(entry -> on(entry, event)));
+    locked(() -> Optional.ofNullable(requests.get(id)).ifPresent(entry -> handle(entry, event)));
   }
 
-  private void take(EntryRequest entry, PeerMessage.OfAttempt message) {
+  private void handleFrame(EntryRequest entry, PeerMessage.OfAttempt message) {
     int attempt = message.id().attempt();
     results.received(message, clock.millis());
     if (message instanceof PeerMessage.Tokens tokens) {
-      takeTokens(entry, tokens);
+      handleTokens(entry, tokens);
     } else if (message instanceof PeerMessage.Started started) {
-      entry.movedTo(attempt, started.endpoint());
-      on(entry, new AttemptEvent.Routed(attempt, started.endpoint()));
+      entry.endpointChanged(attempt, started.endpoint());
+      handle(entry, new AttemptEvent.Routed(attempt, started.endpoint()));
     } else if (message instanceof PeerMessage.Finished finished) {
-      routes.learn(finished.load());
-      on(
+      routes.updateLoads(finished.load());
+      handle(
           entry,
           new AttemptEvent.Frame(
               new AnswerFrame.Finished(
@@ -217,22 +220,22 @@
                   Optional.of(finished.ranOn()),
                   finished.tokens())));
     } else if (message instanceof PeerMessage.ServiceAnswer answer) {
-      serviceTimes.add(entry.agedMs(clock.millis()));
-      entry.hold(answer);
-      on(
+      serviceTimes.add(entry.ageMs(clock.millis()));
+      entry.serviceAnswer(answer);
+      handle(
           entry,
           new AttemptEvent.Frame(
               new AnswerFrame.Finished(entry.request().id(), attempt, Optional.empty(), 0)));
     } else if (message instanceof PeerMessage.MayStart) {
-      on(entry, new AttemptEvent.StartAsked(attempt));
+      handle(entry, new AttemptEvent.StartAsked(attempt));
     } else if (message instanceof PeerMessage.Refused refused) {
-      on(entry, refusedEvent(attempt, refused));
+      handle(entry, refusedEvent(attempt, refused));
     } else if (message instanceof PeerMessage.EndpointLost) {
-      on(entry, new AttemptEvent.EndpointLost(attempt));
+      handle(entry, new AttemptEvent.EndpointLost(attempt));
     }
   }
 
-  private void takeTokens(EntryRequest entry, PeerMessage.Tokens tokens) {
+  private void handleTokens(EntryRequest entry, PeerMessage.Tokens tokens) {
     int index = tokens.firstIndex();
     Optional<AdapterVersion> ranOn = Optional.of(tokens.ranOn());
     for (String text : tokens.texts()) {
@@ -252,14 +255,14 @@
     return new AttemptEvent.Refused(attempt, refused.kind(), proof, comeBack);
   }
 
-  private void on(EntryRequest entry, AttemptEvent event) {
+  private void handle(EntryRequest entry, AttemptEvent event) {
     perform(entry, entry.attempts().on(event, clock.millis()));
     flush(entry);
   }
 
   private void flush(EntryRequest entry) {
     if (entry.answer().flush() && !entry.answer().responder().writable()) {
-      flow(entry, true);
+      setFlow(entry, true);
     }
   }
 
@@ -278,7 +281,7 @@
       answerStart(entry, deny.attempt(), false);
     } else if (action instanceof AttemptAction.Cancel cancel) {
       results.withdrawn(entry.attempt(cancel.attempt()), clock.millis());
-      toOwner(entry, cancel.attempt(), new PeerMessage.Cancel(entry.attempt(cancel.attempt())));
+      sendToOwner(entry, cancel.attempt(), new PeerMessage.Cancel(entry.attempt(cancel.attempt())));
     } else if (action instanceof AttemptAction.Deliver deliver) {
       deliver(entry, deliver.token());
     } else if (action instanceof AttemptAction.End end) {
@@ -303,11 +306,12 @@
     CallerRequest request = entry.request();
     Optional<Route> found =
         routes
-            .find(request.target(), entry.snapshot(), send.prefer(), avoided(send))
-            .filter(route -> !results.isUnderWay(entry.attempt(send.attempt()), route.endpoint()));
+            .find(request.target(), entry.snapshot(), send.prefer(), excludedEndpoints(send))
+            .filter(
+                route -> !results.hasOtherAttempt(entry.attempt(send.attempt()), route.endpoint()));
     if (found.isEmpty()) {
-      // A hedge beside its first attempt on one endpoint would only make that endpoint slower.
-      on(entry, new AttemptEvent.Unroutable(send.attempt(), ErrorKind.NO_ENDPOINT));
+      // A hedged request on the endpoint of the first attempt would only slow that endpoint down.
+      handle(entry, new AttemptEvent.Unroutable(send.attempt(), ErrorKind.NO_ENDPOINT));
       return;
     }
     Route route = found.get();
@@ -322,47 +326,46 @@
         new PeerMessage.Forward(
             entry.attempt(send.attempt()),
             route.endpoint(),
-            from(request.work(), send.resumeFrom()),
+            resumed(request.work(), send.resumeFrom()),
             mode,
-            ownersMillis(request.deadlineMs() - clock.millis()),
+            ownerTimeoutMillis(request.deadlineMs() - clock.millis()),
             request.repeatability().needsStartGrant());
     observer.routed(request, send.attempt(), route.endpoint());
-    on(entry, new AttemptEvent.Routed(send.attempt(), route.endpoint()));
+    handle(entry, new AttemptEvent.Routed(send.attempt(), route.endpoint()));
     if (!route.owner().send(forward)) {
       results.withdrawn(entry.attempt(send.attempt()), clock.millis());
-      on(entry, notSent(send.attempt()));
+      handle(entry, sendFailedEvent(send.attempt()));
     }
   }
 
-  private Set<EndpointId> avoided(AttemptAction.Send send) {
-    Set<EndpointId> avoided = results.leftOut(clock.millis());
-    avoided.addAll(send.avoid());
-    return avoided;
+  private Set<EndpointId> excludedEndpoints(AttemptAction.Send send) {
+    Set<EndpointId> excluded = results.excluded(clock.millis());
+    excluded.addAll(send.avoid());
+    return excluded;
   }
 
   /**
-   * Returns what a send over a closed connection means. A first attempt goes elsewhere. A later one
-   * waits a moment and counts for nothing, since nothing was sent: when several connections close
-   * together, all attempts were used up on them within a millisecond, and a caller whose stream
-   * could have been read on was told UNKNOWN.
+   * Returns the event for a failed send over a closed connection. A first attempt moves to another
+   * endpoint. A later one is delayed and does not count as an attempt, since nothing was sent: when
+   * several connections close together, a request would otherwise use up all its attempts within a
+   * millisecond, and a caller whose stream could be resumed would receive UNKNOWN.
    */
-  private static AttemptEvent notSent(int attempt) {
+  private static AttemptEvent sendFailedEvent(int attempt) {
     return attempt > 1
         ? new AttemptEvent.Unroutable(attempt, ErrorKind.NO_ENDPOINT)
         : new AttemptEvent.OwnerLost(attempt);
   }
 
   /**
-   * Returns the time that an owner gets. Were it the whole, the owner's proof that a request never
-   * left its queue would arrive just after the entry had to say UNKNOWN; a round of the owner's and
-   * of the entry's timer and the way back fit into the margin. Short deadlines give up a part only.
+   * Returns the time that an owner gets. With all of the remaining time, the owner's proof that a
+   * request never left its queue would arrive just after the entry had to answer UNKNOWN.
    */
-  private static long ownersMillis(long remainingMillis) {
-    long margin = Math.min(PROOF_MARGIN_MS, remainingMillis / PROOF_MARGIN_PART);
+  private static long ownerTimeoutMillis(long remainingMillis) {
+    long margin = Math.min(PROOF_MARGIN_MS, remainingMillis / PROOF_MARGIN_DIVISOR);
     return Math.max(1, remainingMillis - margin);
   }
 
-  private static ForwardedWork from(ForwardedWork work, int index) {
+  private static ForwardedWork resumed(ForwardedWork work, int index) {
     return work instanceof ForwardedWork.Completion completion && index > 0
         ? new ForwardedWork.Completion(
             completion.adapter(),
@@ -377,35 +380,36 @@
 
   private void answerStart(EntryRequest entry, int attempt, boolean granted) {
     boolean sent =
-        toOwner(entry, attempt, new PeerMessage.StartAnswer(entry.attempt(attempt), granted));
+        sendToOwner(entry, attempt, new PeerMessage.StartAnswer(entry.attempt(attempt), granted));
     if (granted && !sent) {
-      on(entry, new AttemptEvent.OwnerLost(attempt));
+      handle(entry, new AttemptEvent.OwnerLost(attempt));
     }
   }
 
-  private static boolean toOwner(EntryRequest entry, int attempt, PeerMessage message) {
+  private static boolean sendToOwner(EntryRequest entry, int attempt, PeerMessage message) {
     return entry.route(attempt).map(route -> route.owner().send(message)).orElse(false);
   }
 
   private void deliver(EntryRequest entry, AnswerFrame.Token token) {
-    if (entry.takeFirstToken()) {
+    if (entry.markFirstToken()) {
       observer.firstToken(entry.request());
-      engineTimes.add(entry.agedMs(clock.millis()));
+      engineTimes.add(entry.ageMs(clock.millis()));
     }
     entry.answer().token(token.index(), token.text());
   }
 
   private void writable(RequestId id) {
-    locked(() -> Optional.ofNullable(requests.get(id)).ifPresent(entry -> flow(entry, false)));
+    locked(() -> Optional.ofNullable(requests.get(id)).ifPresent(entry -> setFlow(entry, false)));
   }
 
   /**
-   * A caller that reads slowly would have its whole answer pile up here. Telling the owner to stop
-   * reading is enough: TCP then holds the engine, and what is on the way is bounded by the windows.
+   * Pauses or resumes the owners. The complete answer of a caller that reads slowly would otherwise
+   * be buffered here. It is enough that the owner stops reading: TCP flow control then stops the
+   * engine, and the receive windows bound the data in flight.
    */
-  private void flow(EntryRequest entry, boolean pause) {
-    if (entry.pause(pause)) {
-      on(entry, new AttemptEvent.Flow(pause));
+  private void setFlow(EntryRequest entry, boolean pause) {
+    if (entry.setPaused(pause)) {
+      handle(entry, new AttemptEvent.Flow(pause));
       entry
           .routes()
           .forEach(
@@ -416,7 +420,7 @@
 
   private void end(EntryRequest entry, Outcome outcome) {
     requests.remove(entry.request().id());
-    results.over(entry, clock.millis());
+    results.requestEnded(entry, clock.millis());
     observer.ended(entry.request(), outcome);
     if (entry.request().startIsRecorded()) {
       records.finished(entry.request(), outcome.outcomeClass());
@@ -424,7 +428,8 @@
     if (outcome instanceof Outcome.Answered answered) {
       entry
           .serviceAnswer()
-          .ifPresentOrElse(entry.answer()::service, () -> entry.answer().whole(answered.tokens()));
+          .ifPresentOrElse(
+              entry.answer()::service, () -> entry.answer().complete(answered.tokens()));
     } else {
       entry.answer().failed(outcome, "");
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/Route.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/Route.java
@@ -4,9 +4,9 @@
 import io.sequoiapass.daemon.connection.peer.PeerChannel;
 
 /**
- * Is where one attempt goes.
+ * Destination of one attempt.
  *
- * @param endpoint the endpoint that is to run it
+ * @param endpoint the endpoint that runs it
  * @param owner the connection to the endpoint's owner
  */
 public record Route(EndpointId endpoint, PeerChannel owner) {}
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/Routes.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/Routes.java
@@ -8,16 +8,16 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Finds where an attempt goes; safe for use by several threads. */
+/** Selects the destination of an attempt; safe for use by several threads. */
 public interface Routes {
 
   /**
-   * Returns the best endpoint for an attempt whose owner can be reached, if there is one.
+   * Returns the best endpoint whose owner can be reached, if there is one.
    *
-   * @param target what the endpoint must be
+   * @param target what the endpoint must be able to run
    * @param snapshot the request's configuration
-   * @param prefer the endpoint that has the request's stream, if one has
-   * @param avoid endpoints that failed the request; taken only when no other is left
+   * @param prefer the endpoint that holds the request's stream, if any
+   * @param avoid endpoints on which the request failed; used only if there is no other
    */
   Optional<Route> find(
       RouteTarget target,
@@ -26,9 +26,9 @@
       Set<EndpointId> avoid);
 
   /**
-   * Takes hints of how busy endpoints are.
+   * Updates the load hints of endpoints.
    *
    * @param loads the hints
    */
-  void learn(List<EndpointLoad> loads);
+  void updateLoads(List<EndpointLoad> loads);
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/StartRecords.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/StartRecords.java
@@ -7,9 +7,10 @@
 import java.util.function.Consumer;
 
 /**
- * Records the starts of requests that carry an idempotency key and may run once at most.
+ * Records the starts of requests that have an idempotency key and may run at most once.
  *
- * <p>Safe for use by several threads; may be called under a shard's lock, and answers outside any.
+ * <p>Safe for use by several threads. May be called under a shard's lock; replies are delivered
+ * without any lock held.
  */
 public interface StartRecords {
 
@@ -17,15 +18,15 @@
    * Records that a request is about to start.
    *
    * @param request the request, with a key
-   * @param answer is told once: empty if it may start, else why not
+   * @param answer called once, with empty if the request may start, else with the reason
    */
   void record(CallerRequest request, Consumer<Optional<ErrorKind>> answer);
 
   /**
-   * Records how a request ended, if its start was to be recorded.
+   * Records the outcome of a request if {@link #record} was called for it.
    *
    * @param request the request, with a key
-   * @param outcome how it ended
+   * @param outcome the class of its outcome
    */
   void finished(CallerRequest request, OutcomeClass outcome);
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The entry's side: requests of callers, their routes and their answers. */
+/** Entry side of the daemon: callers' requests, their routing and their answers. */
 package io.sequoiapass.daemon.process.entry;
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/AttemptKeys.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/AttemptKeys.java
@@ -3,7 +3,7 @@
 import io.sequoiapass.coordination.RequestId;
 import io.sequoiapass.daemon.connection.peer.PeerMessage.AttemptId;
 
-/** Names attempts where only one identifier has room, as in the placement. */
+/** Builds single identifiers of attempts, for interfaces that take one identifier, as placement. */
 public final class AttemptKeys {
 
   private static final char SEPARATOR = '#';
@@ -11,7 +11,7 @@
   private AttemptKeys() {}
 
   /**
-   * Returns one identifier for a request and its attempt.
+   * Returns the identifier of an attempt.
    *
    * @param id the attempt
    */
@@ -20,10 +20,10 @@
   }
 
   /**
-   * Returns one identifier for a request and its attempt.
+   * Returns the identifier of an attempt.
    *
    * @param request the request
-   * @param attempt the attempt
+   * @param attempt the number of the attempt
    */
   public static RequestId of(String request, int attempt) {
     return new RequestId(request + SEPARATOR + attempt);
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/CallerAnswer.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/CallerAnswer.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 
 /**
- * Writes one answer to its caller: as server-sent events or whole.
+ * Writes one answer to its caller, as server-sent events or as one response.
  *
  * <p>Guarded by the lock of its request's shard.
  */
@@ -33,11 +33,11 @@
   private boolean begun;
 
   /**
-   * Makes an answer of which nothing is written.
+   * Creates an answer of which nothing is written yet.
    *
    * @param responder the caller's connection
    * @param request the request
-   * @param adapter what it runs on; empty for a plain service
+   * @param adapter the adapter version that it runs on; empty for a plain service
    */
   public CallerAnswer(
       HttpResponder responder, CallerRequest request, Optional<AdapterVersion> adapter) {
@@ -54,9 +54,9 @@
   }
 
   /**
-   * Takes a token; a stream's goes out with the next {@link #flush}.
+   * Adds a token; a streamed one is sent with the next {@link #flush}.
    *
-   * @param index its place
+   * @param index the index of the token
    * @param token its text
    */
   public void token(int index, String token) {
@@ -76,7 +76,7 @@
     if (!begun) {
       begun = true;
       Map<String, String> headers = headers(OutcomeClass.ANSWERED);
-      // A stream that has begun may still fail; its last event tells, so its head does not.
+      // A stream can still fail after its head was sent; the last event carries the outcome.
       headers.remove("Outcome");
       headers.put("Content-Type", "text/event-stream");
       responder.begin(OK, headers);
@@ -88,7 +88,7 @@
   }
 
   /**
-   * Sends the events taken so far in one part, so that tokens that came together cost one write.
+   * Sends the pending events in one write, so that tokens that arrive together cost one write.
    *
    * @return whether there were any
    */
@@ -102,12 +102,12 @@
   }
 
   /**
-   * Ends a completion that is whole.
+   * Ends a complete completion.
    *
-   * @param tokens its length
+   * @param tokens its length in tokens
    */
-  public void whole(int tokens) {
-    JsonObject body = outcome(OutcomeClass.ANSWERED);
+  public void complete(int tokens) {
+    JsonObject body = outcomeBody(OutcomeClass.ANSWERED);
     adapter.ifPresent(
         ranOn -> {
           body.addProperty("adapter", ranOn.adapter().value());
@@ -127,7 +127,7 @@
   }
 
   /**
-   * Hands on the whole answer of a plain service.
+   * Sends the complete answer of a plain service.
    *
    * @param answer the answer
    */
@@ -138,13 +138,13 @@
   }
 
   /**
-   * Ends without an answer.
+   * Ends the answer with an error.
    *
    * @param outcome NOT RUN or UNKNOWN
-   * @param detail further words, perhaps empty
+   * @param detail further detail for the error message; may be empty
    */
   public void failed(Outcome outcome, String detail) {
-    JsonObject body = outcome(outcome.outcomeClass());
+    JsonObject body = outcomeBody(outcome.outcomeClass());
     body.add("error", ErrorAnswer.json(outcome, detail, repeatability));
     if (begun) {
       event(GSON.toJson(body));
@@ -157,7 +157,7 @@
     responder.respond(ErrorAnswer.kindOf(outcome).httpStatus(), headers, GSON.toJson(body));
   }
 
-  private JsonObject outcome(OutcomeClass outcome) {
+  private JsonObject outcomeBody(OutcomeClass outcome) {
     JsonObject body = new JsonObject();
     body.addProperty("id", id);
     body.addProperty("outcome", outcome.name());
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/CallerRequest.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/CallerRequest.java
@@ -9,19 +9,19 @@
 import java.util.Optional;
 
 /**
- * Is one checked request of a caller.
+ * A validated request of a caller.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param callerId the caller's own name for it, echoed in the answer
- * @param id our name for it, unique over all callers
- * @param work what to run
- * @param target what can run it
- * @param repeatability whether it may run twice
- * @param priority how urgent it is
+ * @param callerId the caller's own id of the request, echoed in the answer
+ * @param id the internal id, unique over all callers
+ * @param work the work to run
+ * @param target the endpoints that can run it
+ * @param repeatability whether it may run more than once
+ * @param priority its scheduling priority
  * @param key the caller's idempotency key, if it gave one
  * @param deadlineMs when the answer is due, on the entry's monotonic clock
- * @param streamed whether the caller wants tokens as they come
+ * @param streamed whether the caller wants tokens as they arrive
  */
 public record CallerRequest(
     String callerId,
@@ -34,7 +34,7 @@
     long deadlineMs,
     boolean streamed) {
 
-  /** Checks that all parts are there. */
+  /** Checks that no component is null. */
   public CallerRequest {
     Objects.requireNonNull(callerId, "callerId");
     Objects.requireNonNull(id, "id");
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Returns whether its start has to be recorded first. Work that may run twice needs no record,
-   * and would only be refused when the record cannot be asked.
+   * Returns whether its start has to be recorded in the idempotency ledger first. Work that may run
+   * more than once needs no record, and would only be refused while the ledger is unavailable.
    */
   public boolean startIsRecorded() {
     return key.isPresent() && repeatability.needsStartGrant();
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/CallerRequestParser.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/CallerRequestParser.java
@@ -20,7 +20,7 @@
 import java.util.Optional;
 
 /**
- * Reads a caller's HTTP request against one version of the configuration.
+ * Parses callers' HTTP requests and validates them against one version of the configuration.
  *
  * <pre>{@code
  * CallerRequest request = parser.parse(message, snapshot);
@@ -33,7 +33,7 @@
   /** Path of the completions interface. */
   public static final String COMPLETIONS = "/v1/completions";
 
-  /** Path below which plain services are reached. */
+  /** Path prefix of plain services. */
   public static final String SERVICES = "/services/";
 
   private static final int DEFAULT_MAX_TOKENS = 16;
@@ -46,11 +46,11 @@
   private final long defaultDeadlineMs;
 
   /**
-   * Makes a parser.
+   * Creates a parser.
    *
-   * @param ids names requests
+   * @param ids generates request ids
    * @param clock the clock of deadlines
-   * @param defaultDeadlineMs the deadline of a request that names none, from its arrival
+   * @param defaultDeadlineMs the default deadline in milliseconds, from a request's arrival
    */
   public CallerRequestParser(RequestIds ids, MillisClock clock, long defaultDeadlineMs) {
     this.ids = ids;
@@ -59,27 +59,27 @@
   }
 
   /**
-   * Returns the request that a message asks for.
+   * Parses an HTTP message.
    *
    * @param message the message
-   * @param snapshot the configuration to read it against
-   * @throws Refusal if it cannot be accepted as it is
+   * @param snapshot the configuration to validate it against
+   * @throws InvalidRequestException if the request is invalid
    */
   public CallerRequest parse(HttpRequestMessage message, ConfigurationSnapshot snapshot)
-      throws Refusal {
+      throws InvalidRequestException {
     return message.path().startsWith(SERVICES)
         ? serviceCall(message, snapshot)
         : completion(message, snapshot);
   }
 
   private CallerRequest completion(HttpRequestMessage message, ConfigurationSnapshot snapshot)
-      throws Refusal {
+      throws InvalidRequestException {
     CompletionBody body = body(message);
     AdapterVersion adapter = adapter(body.model(), snapshot);
     AdapterRecord record = snapshot.adapter(adapter.adapter()).orElseThrow();
     Optional<ServiceRecord> service = service(message, snapshot);
     if (service.isPresent() && !service.get().mayUse(adapter.adapter())) {
-      throw new Refusal(
+      throw new InvalidRequestException(
           ErrorKind.NOT_ALLOWED,
           "service " + service.get().id() + " may not use adapter " + adapter.adapter());
     }
@@ -98,23 +98,25 @@
     return request(message, work, target, priority, service, Boolean.TRUE.equals(body.stream()));
   }
 
-  private CompletionBody body(HttpRequestMessage message) throws Refusal {
+  private CompletionBody body(HttpRequestMessage message) throws InvalidRequestException {
     CompletionBody body;
     try {
       body = gson.fromJson(message.text(), CompletionBody.class);
     } catch (JsonParseException e) {
-      throw new Refusal(ErrorKind.MALFORMED_REQUEST, "the body is not the JSON asked for");
+      throw new InvalidRequestException(
+          ErrorKind.MALFORMED_REQUEST, "the body is not a valid JSON completion request");
     }
     if (body == null || body.model() == null || body.prompt() == null) {
-      throw new Refusal(ErrorKind.MALFORMED_REQUEST, "'model' and 'prompt' have to be given");
+      throw new InvalidRequestException(
+          ErrorKind.MALFORMED_REQUEST, "'model' and 'prompt' are required");
     }
     return body;
   }
 
-  private static int maxTokens(CompletionBody body) throws Refusal {
+  private static int maxTokens(CompletionBody body) throws InvalidRequestException {
     int tokens = body.maxTokens() == null ? DEFAULT_MAX_TOKENS : body.maxTokens();
     if (tokens < 1 || tokens > MAX_MAX_TOKENS) {
-      throw new Refusal(
+      throw new InvalidRequestException(
           ErrorKind.MALFORMED_REQUEST,
           "'max_tokens' must be 1 to " + MAX_MAX_TOKENS + ": " + tokens);
     }
@@ -122,18 +124,22 @@
   }
 
   private static AdapterVersion adapter(String model, ConfigurationSnapshot snapshot)
-      throws Refusal {
+      throws InvalidRequestException {
     int at = model.lastIndexOf(AdapterVersion.SEPARATOR);
     AdapterId id;
     try {
       id = new AdapterId(at < 0 ? model : model.substring(0, at));
     } catch (IllegalArgumentException e) {
-      throw new Refusal(ErrorKind.UNKNOWN_ADAPTER, "not an adapter's name: " + model);
+      throw new InvalidRequestException(
+          ErrorKind.UNKNOWN_ADAPTER, "invalid adapter name: " + model);
     }
     AdapterRecord record =
         snapshot
             .adapter(id)
-            .orElseThrow(() -> new Refusal(ErrorKind.UNKNOWN_ADAPTER, "no such adapter: " + id));
+            .orElseThrow(
+                () ->
+                    new InvalidRequestException(
+                        ErrorKind.UNKNOWN_ADAPTER, "no such adapter: " + id));
     if (at < 0) {
       return new AdapterVersion(id, record.current());
     }
@@ -143,18 +149,23 @@
         .findFirst()
         .map(version -> new AdapterVersion(id, version))
         .orElseThrow(
-            () -> new Refusal(ErrorKind.UNKNOWN_VERSION, id + " has no version '" + named + "'"));
+            () ->
+                new InvalidRequestException(
+                    ErrorKind.UNKNOWN_VERSION, id + " has no version '" + named + "'"));
   }
 
   private CallerRequest serviceCall(HttpRequestMessage message, ConfigurationSnapshot snapshot)
-      throws Refusal {
+      throws InvalidRequestException {
     String rest = message.target().substring(SERVICES.length());
     int slash = rest.indexOf('/');
     String name =
         slash < 0 ? message.path().substring(SERVICES.length()) : rest.substring(0, slash);
     ServiceRecord service =
         find(name, snapshot)
-            .orElseThrow(() -> new Refusal(ErrorKind.UNKNOWN_SERVICE, "no such service: " + name));
+            .orElseThrow(
+                () ->
+                    new InvalidRequestException(
+                        ErrorKind.UNKNOWN_SERVICE, "no such service: " + name));
     Priority priority = priority(message, Optional.of(service));
     ForwardedWork work =
         new ForwardedWork.ServiceCall(
@@ -169,14 +180,15 @@
   }
 
   private static Optional<ServiceRecord> service(
-      HttpRequestMessage message, ConfigurationSnapshot snapshot) throws Refusal {
+      HttpRequestMessage message, ConfigurationSnapshot snapshot) throws InvalidRequestException {
     Optional<String> name = message.header("Service");
     if (name.isEmpty()) {
       return Optional.empty();
     }
     Optional<ServiceRecord> found = find(name.get(), snapshot);
     if (found.isEmpty()) {
-      throw new Refusal(ErrorKind.UNKNOWN_SERVICE, "no such service: " + name.get());
+      throw new InvalidRequestException(
+          ErrorKind.UNKNOWN_SERVICE, "no such service: " + name.get());
     }
     return found;
   }
@@ -184,7 +196,7 @@
   private static Optional<ServiceRecord> find(String name, ConfigurationSnapshot snapshot) {
     try {
       return snapshot.service(new ServiceId(name));
-    } catch (IllegalArgumentException notName) {
+    } catch (IllegalArgumentException invalidName) {
       return Optional.empty();
     }
   }
@@ -196,7 +208,7 @@
       Priority priority,
       Optional<ServiceRecord> service,
       boolean streamed)
-      throws Refusal {
+      throws InvalidRequestException {
     String callerId = callerId(message);
     return new CallerRequest(
         callerId,
@@ -210,11 +222,11 @@
         streamed);
   }
 
-  private static String callerId(HttpRequestMessage message) throws Refusal {
+  private static String callerId(HttpRequestMessage message) throws InvalidRequestException {
     String given = message.header("Request-Id").orElse("");
     if (given.length() > RequestIds.MAX_CALLER_ID
         || !given.chars().allMatch(c -> c > ' ' && c < 127)) {
-      throw new Refusal(
+      throw new InvalidRequestException(
           ErrorKind.MALFORMED_REQUEST,
           "'Request-Id' must be at most "
               + RequestIds.MAX_CALLER_ID
@@ -223,16 +235,18 @@
     return given;
   }
 
-  private static Optional<IdempotencyKey> key(HttpRequestMessage message) throws Refusal {
+  private static Optional<IdempotencyKey> key(HttpRequestMessage message)
+      throws InvalidRequestException {
     Optional<String> given = message.header("Idempotency-Key");
     try {
       return given.map(IdempotencyKey::new);
     } catch (IllegalArgumentException e) {
-      throw new Refusal(ErrorKind.MALFORMED_REQUEST, "'Idempotency-Key': " + e.getMessage());
+      throw new InvalidRequestException(
+          ErrorKind.MALFORMED_REQUEST, "'Idempotency-Key': " + e.getMessage());
     }
   }
 
-  private long deadlineMs(HttpRequestMessage message) throws Refusal {
+  private long deadlineMs(HttpRequestMessage message) throws InvalidRequestException {
     Optional<String> given = message.header("Deadline-Ms");
     if (given.isEmpty()) {
       return defaultDeadlineMs;
@@ -244,7 +258,7 @@
       deadline = -1;
     }
     if (deadline < 1 || deadline > MAX_DEADLINE_MS) {
-      throw new Refusal(
+      throw new InvalidRequestException(
           ErrorKind.BAD_DEADLINE,
           "'Deadline-Ms' must be 1 to " + MAX_DEADLINE_MS + ": " + given.get());
     }
@@ -252,7 +266,7 @@
   }
 
   private static Priority priority(HttpRequestMessage message, Optional<ServiceRecord> service)
-      throws Refusal {
+      throws InvalidRequestException {
     Optional<String> given = message.header("Priority");
     if (given.isEmpty()) {
       return service.map(ServiceRecord::priority).orElse(Priority.INTERACTIVE);
@@ -262,7 +276,7 @@
         .findFirst()
         .orElseThrow(
             () ->
-                new Refusal(
+                new InvalidRequestException(
                     ErrorKind.MALFORMED_REQUEST,
                     "'Priority' must be one of "
                         + Arrays.toString(Priority.values())
@@ -270,14 +284,12 @@
                         + given.get()));
   }
 
-  /**
-   * The caller may forbid a second run of what its service allows, but not allow what it forbids.
-   */
+  /** A caller may forbid repetition that its service allows, but not allow what it forbids. */
   private static Repeatability repeatability(
-      HttpRequestMessage message, Optional<ServiceRecord> service) throws Refusal {
+      HttpRequestMessage message, Optional<ServiceRecord> service) throws InvalidRequestException {
     String given = message.header("Repeatable").orElse("true");
     if (!given.equals("true") && !given.equals("false")) {
-      throw new Refusal(
+      throw new InvalidRequestException(
           ErrorKind.MALFORMED_REQUEST, "'Repeatable' must be true or false: " + given);
     }
     boolean allowed = service.map(ServiceRecord::repeatable).orElse(true);
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/EngineRelay.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/EngineRelay.java
@@ -10,32 +10,32 @@
 import java.util.Optional;
 
 /**
- * Hands an engine's stream on to the entry, as long as it is what was asked for.
+ * Forwards an engine's stream to the entry, as long as its frames match the request.
  *
- * <p>Used on the engine connection's event loop; tokens take no lock on their way.
+ * <p>Runs on the engine connection's event loop; forwarding tokens takes no lock.
  */
 public final class EngineRelay implements EngineStreamListener {
 
-  /** Hears how the stream ended. */
+  /** Receives the end of the stream. */
   public interface End {
 
     /**
-     * The whole answer arrived.
+     * Called when the complete answer has arrived.
      *
-     * @param ranOn what it ran on
-     * @param tokens its length
+     * @param ranOn the adapter version that it ran on
+     * @param tokens its length in tokens
      */
     void whole(AdapterVersion ranOn, int tokens);
 
-    /** The engine answered that it did not take the request. */
+    /** Called when the engine has refused the request. */
     void refused(EngineRefusal refusal);
 
     /**
-     * The stream broke, or was not what was asked for.
+     * Called when the stream was interrupted or did not match the request.
      *
-     * @param next index of the first token that was not handed on
-     * @param mayHaveReached whether the engine may have the request
-     * @param resumable whether the engine may be asked for the rest
+     * @param next index of the first token that was not forwarded
+     * @param mayHaveReached whether the engine may have received the request
+     * @param resumable whether the rest may be requested from the engine
      */
     void broken(int next, boolean mayHaveReached, boolean resumable);
   }
@@ -44,14 +44,14 @@
   private final AdapterVersion expected;
   private final End end;
   private int next;
-  private boolean over;
+  private boolean closed;
 
   /**
-   * Makes a relay.
+   * Creates a relay.
    *
    * @param execution the attempt
-   * @param from index of the first token that the engine was asked for
-   * @param end hears the end
+   * @param from index of the first requested token
+   * @param end receives the end of the stream
    */
   public EngineRelay(Execution execution, int from, End end) {
     this.execution = execution;
@@ -64,24 +64,24 @@
   public void frames(List<EngineFrame> frames) {
     int first = next;
     List<String> texts = new ArrayList<>(frames.size());
-    Optional<EngineFrame> odd = Optional.empty();
+    Optional<EngineFrame> unexpected = Optional.empty();
     for (EngineFrame frame : frames) {
-      if (over || !matches(frame) || frame.done() || frame.index() != next) {
-        odd = Optional.of(frame);
+      if (closed || !matches(frame) || frame.done() || frame.index() != next) {
+        unexpected = Optional.of(frame);
         break;
       }
       texts.add(frame.token());
       next++;
     }
-    // Before the end that the odd frame may bring: what follows an end is not read by the entry.
+    // Sent before the end of the stream is handled, since the entry ignores tokens after the end.
     if (!texts.isEmpty()) {
       execution.replies().send(new PeerMessage.Tokens(execution.id(), expected, first, texts));
     }
-    odd.ifPresent(this::endWith);
+    unexpected.ifPresent(this::handleUnexpected);
   }
 
-  private void endWith(EngineFrame frame) {
-    if (over) {
+  private void handleUnexpected(EngineFrame frame) {
+    if (closed) {
       return;
     }
     if (!matches(frame)) {
@@ -94,16 +94,17 @@
   }
 
   /**
-   * An engine that restarted, or answers on a reused connection, may send another request's tokens;
-   * the caller would read a stranger's text. Comparing request, adapter and version of every frame
-   * is enough, since each request has its own id for its whole life.
+   * Returns whether a frame belongs to this request. An engine that has restarted, or that answers
+   * on a reused connection, may send the tokens of another request, and the caller would read
+   * another caller's text. Comparing request, adapter and version of every frame is enough, since
+   * request ids are unique and never change.
    */
   private boolean matches(EngineFrame frame) {
     try {
       return execution.id().request().value().equals(frame.requestId())
           && expected.equals(frame.ranOn())
           && (frame.done() || frame.token() != null);
-    } catch (IllegalArgumentException unnamed) {
+    } catch (IllegalArgumentException invalidName) {
       return false;
     }
   }
@@ -113,27 +114,27 @@
       fail(true, true);
       return;
     }
-    over = true;
+    closed = true;
     end.whole(frame.ranOn(), frame.tokens());
   }
 
   private void fail(boolean mayHaveReached, boolean resumable) {
-    if (!over) {
-      over = true;
+    if (!closed) {
+      closed = true;
       end.broken(next, mayHaveReached, resumable);
     }
   }
 
   @Override
   public void ended() {
-    // Without its last event a stream is short, however cleanly the connection ended.
+    // A stream without its last event is incomplete, even if the connection closed cleanly.
     fail(true, true);
   }
 
   @Override
   public void refused(EngineRefusal refusal) {
-    if (!over) {
-      over = true;
+    if (!closed) {
+      closed = true;
       end.refused(refusal);
     }
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/ErrorAnswer.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/ErrorAnswer.java
@@ -9,7 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Writes what a caller is told in place of an answer; stateless. */
+/** Writes error responses to callers; stateless. */
 public final class ErrorAnswer {
 
   private static final long MILLIS_PER_SECOND = 1_000;
@@ -17,11 +17,11 @@
   private ErrorAnswer() {}
 
   /**
-   * Refuses a request of which nothing was sent anywhere.
+   * Refuses a request that has not left this daemon.
    *
    * @param responder the caller's connection
-   * @param kind why, of the class {@code NOT_RUN}
-   * @param detail the value that is wrong and what is allowed, or empty
+   * @param kind the reason, of the class {@code NOT_RUN}
+   * @param detail the invalid value and the allowed ones, or empty
    */
   public static void refuse(HttpResponder responder, ErrorKind kind, String detail) {
     Outcome outcome = Outcome.notRun(kind, NotRunProof.neverLeftEntry());
@@ -34,7 +34,7 @@
     responder.respond(kind.httpStatus(), headers, body.toString());
   }
 
-  /** Returns the error of a body. */
+  /** Returns the error object of a response body. */
   static JsonObject json(Outcome outcome, String detail, Repeatability repeatability) {
     ErrorKind kind = kindOf(outcome);
     JsonObject error = new JsonObject();
@@ -50,14 +50,16 @@
     return outcome.error().orElse(ErrorKind.INTERNAL);
   }
 
-  /** Adds the header that tells when to come back, in whole seconds, if a time is due. */
+  /**
+   * Adds the {@code Retry-After} header, in seconds rounded up, if the outcome has a retry time.
+   */
   static void putRetryAfter(Map<String, String> headers, Outcome outcome) {
     outcome
         .comeBackMillis()
-        .ifPresent(ms -> headers.put("Retry-After", Long.toString(secondsUp(ms))));
+        .ifPresent(ms -> headers.put("Retry-After", Long.toString(ceilSeconds(ms))));
   }
 
-  private static long secondsUp(long ms) {
+  private static long ceilSeconds(long ms) {
     return (ms + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/Execution.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/Execution.java
@@ -15,54 +15,54 @@
 import java.util.List;
 
 /**
- * Holds one attempt at its owner, from its arrival until its last frame.
+ * State of one attempt at its owner, from its arrival until its last frame.
  *
- * <p>Guarded by the lock of the shard that it belongs to, but for the reply channel, which is safe
- * for use by several threads.
+ * <p>Guarded by the lock of its shard, except for the reply channel, which is safe for use by
+ * several threads.
  */
 public final class Execution {
 
-  /** Tells how far an attempt has come. */
+  /** Stage of an attempt. */
   public enum Stage {
-    /** Waits for a place on an endpoint. */
+    /** Waits for a stream slot on an endpoint. */
     QUEUED,
-    /** Has a place and waits for the entry's grant. */
+    /** Has a stream slot and waits for the entry's grant. */
     ASKING,
-    /** Was written to the endpoint. */
+    /** Has been written to the endpoint. */
     RUNNING,
     /** Has ended. */
-    OVER
+    ENDED
   }
 
   private final PeerMessage.Forward forward;
   private final PeerChannel replies;
-  private final long arrivedAt;
+  private final long arrivedAtMs;
   private Stage stage = Stage.QUEUED;
-  private long startedAt;
-  private PlacementAction.Start place;
+  private long startedAtMs;
+  private PlacementAction.Start assignment;
   private HttpStream stream;
   private boolean paused;
 
   /**
-   * Makes an attempt that waits.
+   * Creates a queued attempt.
    *
-   * @param forward what the entry sent
-   * @param replies where its frames go
-   * @param nowMs the time
+   * @param forward the entry's message
+   * @param replies the channel to the entry
+   * @param nowMs the current time
    */
   public Execution(PeerMessage.Forward forward, PeerChannel replies, long nowMs) {
     this.forward = forward;
     this.replies = replies;
-    this.arrivedAt = nowMs;
-    this.startedAt = nowMs;
+    this.arrivedAtMs = nowMs;
+    this.startedAtMs = nowMs;
   }
 
-  /** Returns what the entry sent. */
+  /** Returns the entry's message. */
   public PeerMessage.Forward forward() {
     return forward;
   }
 
-  /** Returns the attempt. */
+  /** Returns the id of the attempt. */
   public AttemptId id() {
     return forward.id();
   }
@@ -72,30 +72,30 @@
     return (ForwardedWork.Completion) forward.work();
   }
 
-  /** Returns where its frames go. */
+  /** Returns the channel to the entry. */
   public PeerChannel replies() {
     return replies;
   }
 
-  /** Takes the place that it was given. */
-  public void place(PlacementAction.Start given) {
-    place = given;
+  /** Sets the stream slot that placement assigned. */
+  public void place(PlacementAction.Start start) {
+    assignment = start;
   }
 
-  /** Returns the place that it was given; null while it waits. */
+  /** Returns the stream slot that placement assigned; null while the attempt waits. */
   public PlacementAction.Start place() {
-    return place;
+    return assignment;
   }
 
-  /** Returns where it runs; an attempt that was attached to a stream has no place of its own. */
+  /** Returns its endpoint; an attempt attached to an existing stream has no slot of its own. */
   public EndpointId endpoint() {
-    return place == null ? forward.endpoint() : place.endpoint();
+    return assignment == null ? forward.endpoint() : assignment.endpoint();
   }
 
   /**
-   * Returns the call that runs it.
+   * Returns the engine request for the attempt.
    *
-   * @param handle the load to run on
+   * @param handle the loaded adapter to run on
    */
   public EngineRun run(LoadHandle handle) {
     ForwardedWork.Completion work = completion();
@@ -111,57 +111,57 @@
         work.resumeFrom());
   }
 
-  /** Returns how far it has come. */
+  /** Returns the stage. */
   public Stage stage() {
     return stage;
   }
 
-  /** Notes that the entry was asked for its grant. */
+  /** Records that the grant was requested from the entry. */
   public void asking() {
     stage = Stage.ASKING;
   }
 
-  /** Notes that it is written to the endpoint now. */
+  /** Records that the attempt is being written to the endpoint. */
   public void running(long nowMs) {
     stage = Stage.RUNNING;
-    startedAt = nowMs;
+    startedAtMs = nowMs;
   }
 
-  /** Notes that it has ended; returns false if it had ended before. */
+  /** Ends the attempt; returns false if it had already ended. */
   public boolean end() {
-    if (stage == Stage.OVER) {
+    if (stage == Stage.ENDED) {
       return false;
     }
-    stage = Stage.OVER;
+    stage = Stage.ENDED;
     return true;
   }
 
-  /** Returns how long it waited before it was written to the endpoint, in milliseconds. */
+  /** Returns the time from arrival until it was written to the endpoint, in milliseconds. */
   public long waitedMs() {
-    return startedAt - arrivedAt;
+    return startedAtMs - arrivedAtMs;
   }
 
-  /** Returns how long ago it arrived, in milliseconds. */
+  /** Returns the time since its arrival, in milliseconds. */
   public long agedMs(long nowMs) {
-    return nowMs - arrivedAt;
+    return nowMs - arrivedAtMs;
   }
 
-  /** Returns how long ago it was written to the endpoint, in milliseconds. */
+  /** Returns the time since it was written to the endpoint, in milliseconds. */
   public long ranMs(long nowMs) {
-    return nowMs - startedAt;
+    return nowMs - startedAtMs;
   }
 
-  /** Returns the milliseconds that its deadline leaves. */
+  /** Returns the time left until its deadline, in milliseconds; at least 1. */
   public long remainingMs(long nowMs) {
-    return Math.max(1, forward.remainingMs() - (nowMs - arrivedAt));
+    return Math.max(1, forward.remainingMs() - (nowMs - arrivedAtMs));
   }
 
   /** Returns whether its deadline has passed. */
   public boolean isLate(long nowMs) {
-    return nowMs - arrivedAt >= forward.remainingMs();
+    return nowMs - arrivedAtMs >= forward.remainingMs();
   }
 
-  /** Takes the stream that its answer arrives on. */
+  /** Sets the stream on which its answer arrives. */
   public void stream(HttpStream opened) {
     stream = opened;
     if (paused) {
@@ -169,7 +169,7 @@
     }
   }
 
-  /** Stops or goes on reading its answer. */
+  /** Pauses or resumes reading of its answer. */
   public void pause(boolean pause) {
     paused = pause;
     if (stream == null) {
@@ -182,24 +182,24 @@
     }
   }
 
-  /** Stops reading its answer for good. */
+  /** Cancels the stream of its answer. */
   public void dropStream() {
     if (stream != null) {
       stream.cancel();
     }
   }
 
-  /** Tells the entry that the whole answer was handed on. */
+  /** Notifies the entry that the complete answer has been forwarded. */
   public void whole(AdapterVersion ranOn, int tokens, List<EndpointLoad> load) {
     replies.send(new PeerMessage.Finished(id(), ranOn, tokens, waitedMs(), load));
   }
 
-  /** Tells the entry that it did not run and never will. */
+  /** Notifies the entry that the attempt did not run and will not run. */
   public void refuse(ErrorKind kind, boolean byEndpoint, long comeBackMs) {
     replies.send(new PeerMessage.Refused(id(), kind, byEndpoint, comeBackMs));
   }
 
-  /** Tells the entry that it may have run and that no whole answer will come. */
+  /** Notifies the entry that the attempt may have run but has no complete answer. */
   public void lost() {
     replies.send(new PeerMessage.EndpointLost(id()));
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/RouteTarget.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/RouteTarget.java
@@ -4,14 +4,16 @@
 import io.sequoiapass.coordination.ModelId;
 import io.sequoiapass.coordination.ServiceId;
 
-/** Is what an endpoint must be to run a request; immutable and safe for use by several threads. */
+/**
+ * What an endpoint must provide to run a request; immutable and safe for use by several threads.
+ */
 public sealed interface RouteTarget {
 
-  /** Returns the text that places the request among endpoints: the same text, the same order. */
+  /** Returns the key that ranks endpoints for the request; equal keys give equal rankings. */
   String affinity();
 
   /**
-   * Any engine of a base model; affinity keeps an adapter on few of them.
+   * Any engine of a base model; affinity confines an adapter to few of them.
    *
    * @param model the base model
    * @param adapter the adapter and version
@@ -27,7 +29,7 @@
    * Any endpoint of a plain service.
    *
    * @param service the service
-   * @param spread a text that differs from request to request, so that they spread evenly
+   * @param spread a text that differs between requests, so that they are distributed evenly
    */
   record Service(ServiceId service, String spread) implements RouteTarget {
     @Override
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/package-info.java
@@ -1,2 +1,2 @@
-/** What lives for one request: its caller's side at the entry, its endpoint's side at the owner. */
+/** Per-request state: the caller side at the entry, and the endpoint side at the owner. */
 package io.sequoiapass.daemon.request;
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/entry/AffinityRoutesTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/entry/AffinityRoutesTest.java
@@ -79,19 +79,19 @@
   }
 
   @Test
-  void anAdapterKeepsItsEndpoint() {
+  void routesAnAdapterToTheSameEndpointAgain() {
     EndpointId first = find("notes", Set.of()).orElseThrow();
     assertThat(find("notes", Set.of())).contains(first);
   }
 
   @Test
-  void hotAdaptersAndTheOthersSpreadOverEndpointsOfTheirOwn() {
+  void hotAndOtherAdaptersUseDisjointEndpoints() {
     Set<EndpointId> others = endpointsOfManyAdapters();
     Set<AdapterVersion> hot = new HashSet<>();
     for (int i = 0; i < MANY; i++) {
       hot.add(AdapterVersion.parse("adapter-" + i + "@v1"));
     }
-    routes.learn(List.of(new EndpointLoad(new EndpointId("e0"), 0, 0, 16, Set.of(), hot, 0)));
+    routes.updateLoads(List.of(new EndpointLoad(new EndpointId("e0"), 0, 0, 16, Set.of(), hot, 0)));
     Set<EndpointId> shared = endpointsOfManyAdapters();
 
     assertThat(shared).isNotEmpty().doesNotContainAnyElementsOf(others);
@@ -99,12 +99,12 @@
   }
 
   @Test
-  void hotAdaptersShareMoreEndpointsOnceStallsWeighMore() {
+  void hotAdaptersUseMoreEndpointsWithHigherStallWeight() {
     Set<AdapterVersion> hot = new HashSet<>();
     for (int i = 0; i < MANY; i++) {
       hot.add(AdapterVersion.parse("adapter-" + i + "@v1"));
     }
-    routes.learn(List.of(new EndpointLoad(new EndpointId("e0"), 0, 0, 16, Set.of(), hot, 0)));
+    routes.updateLoads(List.of(new EndpointLoad(new EndpointId("e0"), 0, 0, 16, Set.of(), hot, 0)));
     Set<EndpointId> ordinary = endpointsOfManyAdapters();
     routes.weigh(PlacementWeights.STALLS.times(2, 1));
 
@@ -120,9 +120,9 @@
   }
 
   @Test
-  void aFullEndpointIsPassedOverWhileItsHintIsFresh() {
+  void skipsAFullEndpointUntilItsHintExpires() {
     EndpointId first = find("notes", Set.of()).orElseThrow();
-    routes.learn(List.of(new EndpointLoad(first, 16, 0, 16, Set.of())));
+    routes.updateLoads(List.of(new EndpointLoad(first, 16, 0, 16, Set.of())));
     assertThat(find("notes", Set.of())).isPresent().isNotEqualTo(Optional.of(first));
     now += 60_000;
     assertThat(find("notes", Set.of())).contains(first);
@@ -132,14 +132,14 @@
   class Failures {
 
     @Test
-    void anEndpointThatLeavesIsNotKeptInAnOldOrder() {
+    void cachedRankingDropsALeavingEndpoint() {
       EndpointId first = find("notes", Set.of()).orElseThrow();
       store.apply(0, List.of(endpoint(first.value(), EndpointState.LEAVING)));
       assertThat(find("notes", Set.of())).isPresent().isNotEqualTo(Optional.of(first));
     }
 
     @Test
-    void whenAllOfTheFirstAreAvoidedAnotherIsFound() {
+    void findsAnotherEndpointWhenTheFirstRankedAreAvoided() {
       Set<EndpointId> avoid = new HashSet<>();
       for (int i = 0; i < 8; i++) {
         avoid.add(find("notes", avoid).orElseThrow());
@@ -148,13 +148,13 @@
     }
 
     @Test
-    void withoutAnyOwnerThereIsNoRoute() {
+    void findsNoRouteWithoutOwners() {
       store.snapshot().endpoints().forEach(one -> unowned.add(one.id()));
       assertThat(find("notes", Set.of())).isEmpty();
     }
 
     @Test
-    void whenOnlyOneEndpointOfTheRegionHasAnOwnerItIsFound() {
+    void findsTheOnlyEndpointWithAnOwner() {
       store.snapshot().endpoints().forEach(one -> unowned.add(one.id()));
       EndpointId left = new EndpointId("e7");
       unowned.remove(left);
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/entry/EntryShardTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/entry/EntryShardTest.java
@@ -53,11 +53,11 @@
           new Ends(),
           new NoRecords());
 
-  // A caller has read part of its answer when the links to all owners close at once, for some
-  // hundred milliseconds. Every attempt to read on finds a closed link. Each counted as one of the
-  // four that a request has, so the caller was told UNKNOWN at once, though it had 20 s left.
+  // The connections to all owners close for some hundred milliseconds while a caller has received
+  // part of its answer, so every attempt to resume fails to send. If each counted as one of the
+  // four attempts of a request, the caller would receive UNKNOWN with 20 s of its deadline left.
   @Test
-  void closedLinksUseUpNoAttempts() {
+  void closedConnectionsDoNotCountAsAttempts() {
     shard.accept(request(), ConfigurationStore.create(DEADLINE_MS).snapshot(), new Caller());
     shard.received(new PeerMessage.Tokens(new AttemptId(ID, 1), ADAPTER, 0, List.of("a")));
     link.open = false;
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void learn(List<EndpointLoad> loads) {}
+    public void updateLoads(List<EndpointLoad> loads) {}
   }
 
   private static final class Link implements PeerChannel {
--- a/daemon/src/test/java/io/sequoiapass/daemon/request/EngineRelayTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/request/EngineRelayTest.java
@@ -25,30 +25,30 @@
   private static final AdapterVersion NOTES =
       new AdapterVersion(new AdapterId("notes"), new VersionId("v1"));
   private static final PeerMessage.AttemptId ID = new PeerMessage.AttemptId(new RequestId("r1"), 0);
-  private final List<String> heard = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
   private final EngineRelay relay = relay();
 
   @Test
-  void tokensThatCameTogetherGoOutInOneMessageAndBeforeTheEnd() {
+  void tokensThatArriveTogetherAreSentInOneMessageBeforeTheEnd() {
     relay.frames(List.of(token(0, "a"), token(1, "b"), end(2)));
-    assertThat(heard).containsExactly("0 [a, b]", "whole 2");
+    assertThat(events).containsExactly("0 [a, b]", "whole 2");
   }
 
-  // The engine restarts and its answer goes on with another request's text. The tokens before are
-  // this request's and may be read on from; nothing that follows the stranger's may be.
+  // A restarted engine continues the stream with the text of another request. The tokens before it
+  // belong to this request and may be resumed from; nothing after the foreign frame is forwarded.
   @Test
-  void nothingIsHandedOnFromAStrangersFrameOn() {
+  void forwardsNothingFromAForeignFrameOnwards() {
     relay.frames(List.of(token(0, "a"), frame("other", 1, "x"), token(1, "b")));
     relay.frames(List.of(token(1, "b"), end(2)));
-    assertThat(heard).containsExactly("0 [a]", "broken at 1");
+    assertThat(events).containsExactly("0 [a]", "broken at 1");
   }
 
-  // One token of several that arrived together is missing; what came before it is handed on, and
-  // the stream can be asked for the rest.
+  // One of several tokens that arrived together is missing. The tokens before it are forwarded, and
+  // the rest can be requested from that index.
   @Test
-  void aMissingTokenBreaksTheStreamAtItsPlace() {
+  void aMissingTokenInterruptsTheStreamAtItsIndex() {
     relay.frames(List.of(token(0, "a"), token(2, "c")));
-    assertThat(heard).containsExactly("0 [a]", "broken at 1");
+    assertThat(events).containsExactly("0 [a]", "broken at 1");
   }
 
   private EngineRelay relay() {
@@ -86,7 +86,7 @@
     @Override
     public boolean send(PeerMessage message) {
       PeerMessage.Tokens tokens = (PeerMessage.Tokens) message;
-      return heard.add(tokens.firstIndex() + " " + tokens.texts());
+      return events.add(tokens.firstIndex() + " " + tokens.texts());
     }
 
     @Override
@@ -102,17 +102,17 @@
 
     @Override
     public void whole(AdapterVersion ranOn, int tokens) {
-      heard.add("whole " + tokens);
+      events.add("whole " + tokens);
     }
 
     @Override
     public void refused(EngineRefusal refusal) {
-      heard.add("refused");
+      events.add("refused");
     }
 
     @Override
     public void broken(int next, boolean mayHaveReached, boolean resumable) {
-      heard.add("broken at " + next);
+      events.add("broken at " + next);
     }
   }
 }
