--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/KeyedStart.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/KeyedStart.java
@@ -93,11 +93,9 @@
   LedgerMessage message(long nowMs) {
     nextSendAt = nowMs + retryIntervalMs;
     if (isFinishing()) {
-      // No request waits for this; a replica that needs the outcome queries it. Without backoff,
-      // the
-      // unconfirmed outcomes of a minute without a primary replica would cause thousands of
-      // messages
-      // per second.
+      // No request waits for this; a replica that needs the outcome queries it. Without backoff, a
+      // minute without a primary replica would leave enough unconfirmed outcomes for thousands of
+      // messages per second.
       retryIntervalMs = Math.min(2 * retryIntervalMs, MAX_RETRY_INTERVAL_MS);
     }
     return switch (step) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerNode.java
@@ -226,9 +226,8 @@
     if (start.isPresent()) {
       outbox.add(new LedgerSend(replica, start.get().status(query)));
     } else if (query.holder().entry().equals(members.self())) {
-      // The request has ended here, and its outcome was either stored or timed out unconfirmed.
-      // Only
-      // this entry could start it, so a replica that holds it open may close it.
+      // The request has ended here, and its outcome was stored or abandoned unconfirmed. Only this
+      // entry could start it, so a replica that holds it open may close it.
       LedgerMessage ended =
           new LedgerMessage.Finish(query.key(), query.holder(), OutcomeClass.UNKNOWN);
       outbox.add(new LedgerSend(replica, ended));
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/CallerAnswer.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/CallerAnswer.java
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Ends a complete completion.
+   * Ends the answer of a completion that is complete.
    *
    * @param tokens its length in tokens
    */
