--- a/coordination/src/main/java/io/sequoiapass/coordination/version/Backoff.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/Backoff.java
@@ -4,7 +4,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Spreads retries in time: exponential bounds with full jitter.
+ * Exponential backoff with full jitter for retries.
  *
  * <pre>{@code
  * Backoff backoff = Backoff.create(200, 10_000, random);
@@ -12,8 +12,8 @@
  * backoff.reset();
  * }</pre>
  *
- * <p>Full jitter draws from zero to the bound, so that hundreds of daemons that lost the platform
- * at one moment come back evenly. Not thread-safe; one shard drives it.
+ * <p>Full jitter draws each delay from zero to the bound, so that hundreds of daemons that lose the
+ * platform simultaneously spread their retries evenly. Not thread-safe; confined to one shard.
  */
 public final class Backoff {
 
@@ -33,7 +33,7 @@
    *
    * @param baseMillis the bound of the first delay
    * @param capMillis the bound of every delay
-   * @param random the source of the jitter; seeded, so that runs repeat
+   * @param random the source of the jitter; seeded, so that runs are reproducible
    */
   public static Backoff create(long baseMillis, long capMillis, RandomGenerator random) {
     if (baseMillis <= 0 || capMillis < baseMillis) {
@@ -43,7 +43,7 @@
     return new Backoff(baseMillis, capMillis, random);
   }
 
-  /** Counts a failure and returns how long to wait before the next try. */
+  /** Records a failure and returns the delay before the next attempt, in milliseconds. */
   public long nextDelayMillis() {
     long bound = baseMillis;
     for (int i = 0; i < failures && bound < capMillis; i++) {
@@ -53,12 +53,12 @@
     return random.nextLong(bound + 1);
   }
 
-  /** Forgets the failures, after a success. */
+  /** Resets the failure count after a success. */
   public void reset() {
     failures = 0;
   }
 
-  /** Returns the failures since the last success. */
+  /** Returns the number of failures since the last success. */
   public int failures() {
     return failures;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/CallBudget.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/CallBudget.java
@@ -1,14 +1,15 @@
 package io.sequoiapass.coordination.version;
 
 /**
- * Bounds one daemon's calls to the platform: a token bucket with a reserve for urgent calls.
+ * Rate limiter for one daemon's calls to the platform: a token bucket with a reserve for urgent
+ * calls.
  *
  * <pre>{@code
  * CallBudget budget = CallBudget.create(2.0, 10, now);
  * if (budget.tryAcquire(now, CallKind.LEASE)) { ... }
  * }</pre>
  *
- * <p>Not thread-safe; one shard drives it.
+ * <p>Not thread-safe; confined to one shard.
  */
 public final class CallBudget {
 
@@ -18,22 +19,22 @@
   private final double burst;
   private double tokens;
   private long refilledAt;
-  private long closedUntil;
+  private long throttledUntil;
 
   private CallBudget(double callsPerSecond, double burst, long now) {
     this.callsPerSecond = callsPerSecond;
     this.burst = burst;
     this.tokens = burst;
     this.refilledAt = now;
-    this.closedUntil = now;
+    this.throttledUntil = now;
   }
 
   /**
    * Returns a full budget.
    *
-   * @param callsPerSecond the rate; 400 daemons at 2 calls a second stay within half of what the
-   *     platform serves
-   * @param burst the calls that may come at once
+   * @param callsPerSecond the rate; 400 daemons at 2 calls per second use at most half of the
+   *     platform's capacity
+   * @param burst the maximum number of calls in a burst
    * @param now the time
    */
   public static CallBudget create(double callsPerSecond, double burst, long now) {
@@ -45,14 +46,14 @@
   }
 
   /**
-   * Takes a token if this kind of call may have one.
+   * Takes a token if one is available to this kind of call.
    *
    * @param now the time
-   * @param kind what the call is for
+   * @param kind the purpose of the call
    */
   public boolean tryAcquire(long now, CallKind kind) {
     refill(now);
-    if (now < closedUntil || tokens - 1 < kind.reservedShare() * burst) {
+    if (now < throttledUntil || tokens - 1 < kind.reservedShare() * burst) {
       return false;
     }
     tokens -= 1;
@@ -60,18 +61,19 @@
   }
 
   /**
-   * Takes in that the platform refused a call for its rate: no call goes out for a while.
+   * Records that the platform rejected a call for exceeding the rate, and blocks all calls for a
+   * while.
    *
    * @param now the time
-   * @param retryAfterMillis how long the platform asks to wait
+   * @param retryAfterMillis the delay requested by the platform, in milliseconds
    */
   public void throttled(long now, long retryAfterMillis) {
-    closedUntil = Math.max(closedUntil, now + retryAfterMillis);
+    throttledUntil = Math.max(throttledUntil, now + retryAfterMillis);
   }
 
   private void refill(long now) {
-    double gained = (now - refilledAt) * callsPerSecond / MILLIS_PER_SECOND;
-    tokens = Math.min(burst, tokens + Math.max(0, gained));
+    double refilled = (now - refilledAt) * callsPerSecond / MILLIS_PER_SECOND;
+    tokens = Math.min(burst, tokens + Math.max(0, refilled));
     refilledAt = Math.max(refilledAt, now);
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/CallKind.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/CallKind.java
@@ -1,14 +1,14 @@
 package io.sequoiapass.coordination.version;
 
-/** What a call to the platform is for; the more urgent, the deeper it may draw on the budget. */
+/** Purpose of a call to the platform; more urgent kinds may use more of the call budget. */
 public enum CallKind {
-  /** Renew the own lease: may use the last token. */
+  /** Renews the daemon's own lease; may use the last token. */
   LEASE(0.0),
-  /** Read or change ownership. */
+  /** Reads or changes ownership. */
   OWNERSHIP(0.2),
-  /** Watch or read configuration. */
+  /** Watches or reads configuration. */
   CONFIGURATION(0.4),
-  /** The host list and other hints. */
+  /** Reads the host list and other hints. */
   HINT(0.6);
 
   private final double reservedShare;
@@ -17,7 +17,7 @@
     this.reservedShare = reservedShare;
   }
 
-  /** Returns the share of the burst that this kind leaves to more urgent ones. */
+  /** Returns the share of the burst that this kind leaves for more urgent ones. */
   double reservedShare() {
     return reservedShare;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/ColdStart.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/ColdStart.java
@@ -6,7 +6,7 @@
 import java.util.TreeSet;
 
 /**
- * Tells when a fresh daemon knows enough configuration to serve.
+ * Decides when a starting daemon has enough configuration to serve.
  *
  * <pre>{@code
  * ColdStart start = ColdStart.create(now, 5_000);
@@ -14,28 +14,27 @@
  * boolean serve = start.isReady(now, alivePeers) && schedule.inForce(wall).isPresent();
  * }</pre>
  *
- * <p>Ready is a daemon that has a complete listing from the platform, or everything from every peer
- * that it hears, one of which at least is ready itself. Without it a daemon that starts during an
- * outage would serve an older version than its neighbours do. A peer that is heard but does not
- * answer is waited for only so long. Once ready, always ready. Not thread-safe; one shard drives
- * it.
+ * <p>A daemon is ready once it has a complete listing from the platform, or all objects from every
+ * live peer, at least one of which is ready itself. Otherwise a daemon that starts during a
+ * platform outage could serve older versions than its peers. The wait for live peers that do not
+ * answer is bounded. A ready daemon stays ready. Not thread-safe; confined to one shard.
  */
 public final class ColdStart {
 
-  private final long peersUntil;
+  private final long peerWaitEndsAt;
   private final Set<DaemonId> answered = new TreeSet<>();
   private boolean readyPeer;
   private boolean ready;
 
-  private ColdStart(long peersUntil) {
-    this.peersUntil = peersUntil;
+  private ColdStart(long peerWaitEndsAt) {
+    this.peerWaitEndsAt = peerWaitEndsAt;
   }
 
   /**
-   * Returns the rule for a daemon that starts now.
+   * Returns the state of a daemon that starts now.
    *
    * @param now the time
-   * @param peerWaitMillis how long peers that are heard are waited for
+   * @param peerWaitMillis the maximum wait for live peers, in milliseconds
    */
   public static ColdStart create(long now, long peerWaitMillis) {
     if (peerWaitMillis <= 0) {
@@ -44,13 +43,13 @@
     return new ColdStart(now + peerWaitMillis);
   }
 
-  /** Takes in that a complete listing from the platform was applied. */
+  /** Records that a complete listing from the platform was applied. */
   public void platformListed() {
     ready = true;
   }
 
   /**
-   * Takes in that everything a peer holds was applied.
+   * Records that all objects of a peer were applied.
    *
    * @param peer the peer
    * @param peerReady whether the peer is ready itself
@@ -64,11 +63,11 @@
    * Returns whether the daemon may serve.
    *
    * @param now the time
-   * @param alivePeers the peers that are heard from
+   * @param alivePeers the live peers
    */
   public boolean isReady(long now, Collection<DaemonId> alivePeers) {
-    boolean all = answered.containsAll(alivePeers) || now >= peersUntil;
-    ready |= readyPeer && all;
+    boolean synchronizedWithPeers = answered.containsAll(alivePeers) || now >= peerWaitEndsAt;
+    ready |= readyPeer && synchronizedWithPeers;
     return ready;
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/ConditionalWrite.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/ConditionalWrite.java
@@ -5,15 +5,16 @@
 import java.util.Objects;
 
 /**
- * Decides what became of one conditional write to the platform, also when answers are lost.
+ * Determines the outcome of one conditional write (compare-and-set) to the platform, including
+ * after lost answers.
  *
  * <pre>{@code
  * ConditionalWrite write = ConditionalWrite.create(operation, version);
  * WriteDecision decision = write.answered(new WriteAnswer.Lost()); // RETRY, same operation
  * }</pre>
  *
- * <p>The same write may be sent any number of times: the expected version lets it take effect once
- * at most. Not thread-safe; one shard drives it.
+ * <p>The same write may be sent any number of times: the expected version ensures that it takes
+ * effect at most once. Not thread-safe; confined to one shard.
  */
 public final class ConditionalWrite {
 
@@ -27,9 +28,9 @@
   }
 
   /**
-   * Returns a write that was not sent yet.
+   * Returns a write that has not been sent.
    *
-   * @param operation its name, never used for another write
+   * @param operation the write's unique operation id, never used for another write
    * @param expectedVersion the version the object must have; 0 if it must not exist
    */
   public static ConditionalWrite create(OperationId operation, long expectedVersion) {
@@ -39,7 +40,7 @@
     return new ConditionalWrite(operation, expectedVersion);
   }
 
-  /** Returns the write's name. */
+  /** Returns the write's operation id. */
   public OperationId operation() {
     return operation;
   }
@@ -50,9 +51,9 @@
   }
 
   /**
-   * Takes in what came back from one try.
+   * Processes the answer to one attempt.
    *
-   * @param answer what came back
+   * @param answer the answer, or its loss
    */
   public WriteDecision answered(WriteAnswer answer) {
     if (answer instanceof WriteAnswer.Stored stored) {
@@ -65,10 +66,11 @@
     return new WriteDecision(Outcome.RETRY, expectedVersion, false);
   }
 
-  // After a lost answer the retry conflicts with the own change. Taken for somebody else's, it
-  // would be done again on top: a second handover, or a lease given up that is held. The operation
-  // id in the object tells them apart; once overwritten by a third party it is gone, and the caller
-  // is told that too.
+  // After a lost answer, the retry conflicts with this write's own change. If that were taken for a
+  // change by another writer, the write would be repeated: a second handover, or a held lease
+  // treated as lost. The operation id stored in the object distinguishes the two cases. A later
+  // change by another writer overwrites the id; maybeOverwritten reports that possibility to the
+  // caller.
   private WriteDecision afterConflict(WriteAnswer.Conflict conflict) {
     if (conflict.operation().filter(operation::equals).isPresent()) {
       return new WriteDecision(Outcome.APPLIED, conflict.version(), false);
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationDigest.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationDigest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Sums up which versions of which objects a daemon holds, for the repair exchange between peers.
+ * Digest of the object versions that a daemon holds, for anti-entropy repair between peers.
  *
  * <pre>{@code
  * if (mine.root() != theirs.root()) {
@@ -12,10 +12,10 @@
  * }
  * }</pre>
  *
- * <p>Peers exchange the 8 bytes of the root each second, the 2 KB of the buckets only when roots
+ * <p>Peers exchange the 8-byte root each second, and the 2 KB of bucket sums only when roots
  * differ. Instances are immutable and safe for use by several threads.
  *
- * @param buckets one sum a bucket of keys
+ * @param buckets one sum per bucket of keys
  */
 public record ConfigurationDigest(List<Long> buckets) {
 
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Returns the sum over all buckets. */
+  /** Returns the combined hash of all buckets. */
   public long root() {
     long root = 0;
     for (int i = 0; i < buckets.size(); i++) {
@@ -37,7 +37,7 @@
     return root;
   }
 
-  /** Returns the buckets in which the other differs. */
+  /** Returns the indices of the buckets that differ from those of another digest. */
   public List<Integer> differingFrom(ConfigurationDigest other) {
     List<Integer> differing = new ArrayList<>();
     for (int i = 0; i < buckets.size(); i++) {
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationObject.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationObject.java
@@ -21,10 +21,10 @@
  */
 public sealed interface ConfigurationObject {
 
-  /** Returns the object's name. */
+  /** Returns the object's key. */
   ObjectKey key();
 
-  /** Returns the platform's counter at the object's last change. */
+  /** Returns the value of the platform's counter at the object's last change. */
   long version();
 
   /**
@@ -32,7 +32,7 @@
    *
    * @param id its name
    * @param version the object's version
-   * @param model the base model that it refines
+   * @param model the base model that it adapts
    * @param current the version in force
    * @param versions the versions that requests may name
    */
@@ -115,13 +115,13 @@
    * @param address IP number and port
    * @param dataCentre its data centre
    * @param host its host
-   * @param type what runs there
+   * @param type the type of process that runs there
    * @param model the base model, for an engine
    * @param service the service, for a plain service
-   * @param slots how many adapters an engine holds; empty for a plain service
-   * @param maxStreams how many requests run at once
-   * @param fencePolicy whether it refuses old fencing numbers
-   * @param state whether it takes new work
+   * @param slots the number of adapter slots of an engine; empty for a plain service
+   * @param maxStreams the maximum number of concurrent requests
+   * @param fencePolicy whether it rejects outdated fencing numbers
+   * @param state whether it accepts new work
    */
   record EndpointRecord(
       EndpointId id,
@@ -138,7 +138,7 @@
       EndpointState state)
       implements ConfigurationObject {
 
-    /** Checks that what the type needs is there. */
+    /** Checks that the components required by the type are present. */
     public EndpointRecord {
       checkVersion(version);
       Objects.requireNonNull(address, "address");
@@ -159,12 +159,12 @@
       }
     }
 
-    /** Returns whether it may be sent new work. */
+    /** Returns whether the endpoint accepts new work. */
     public boolean takesNewWork() {
       return state == EndpointState.ACTIVE;
     }
 
-    /** Returns this endpoint as one that takes no new work. */
+    /** Returns a copy of this endpoint that accepts no new work. */
     EndpointRecord leaving() {
       return new EndpointRecord(
           id,
@@ -192,7 +192,7 @@
    *
    * @param version the object's version
    * @param preset the preset
-   * @param effectiveAtWallMillis when it comes into force, by the wall clock
+   * @param effectiveAtWallMillis when it comes into force, in milliseconds of the wall clock
    */
   record PresetRecord(long version, Preset preset, long effectiveAtWallMillis)
       implements ConfigurationObject {
@@ -200,7 +200,7 @@
     /** The name of the one preset object. */
     public static final String NAME = "current";
 
-    /** Checks the parts. */
+    /** Rejects invalid components. */
     public PresetRecord {
       checkVersion(version);
       Objects.requireNonNull(preset, "preset");
@@ -213,14 +213,14 @@
   }
 
   /**
-   * What is left of a deleted object, so that an older copy of it is not taken for news.
+   * Marker of a deleted object, which prevents an older copy of it from being applied.
    *
-   * @param key the object's name
-   * @param version the platform's counter at the deletion
+   * @param key the object's key
+   * @param version the value of the platform's counter at the deletion
    */
   record Tombstone(ObjectKey key, long version) implements ConfigurationObject {
 
-    /** Checks the parts. */
+    /** Rejects invalid components. */
     public Tombstone {
       checkVersion(version);
       Objects.requireNonNull(key, "key");
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationSnapshot.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationSnapshot.java
@@ -14,7 +14,8 @@
 import java.util.Optional;
 
 /**
- * The configuration as it stands after one change; a request keeps the one that it began with.
+ * Immutable view of the configuration after one change; a request uses the same snapshot from start
+ * to end.
  *
  * <pre>{@code
  * ConfigurationSnapshot snapshot = store.snapshot();
@@ -35,7 +36,7 @@
     this.endpoints = List.copyOf(endpoints);
   }
 
-  /** Returns the highest version of any object in it, deleted ones included. */
+  /** Returns the highest version of any object in the snapshot, including deleted ones. */
   public long revision() {
     return revision;
   }
@@ -55,27 +56,27 @@
     return find(ObjectKind.ENDPOINT, id.value(), EndpointRecord.class);
   }
 
-  /** Returns the newest preset object, in force or not; {@link PresetSchedule} tells which. */
+  /** Returns the newest preset object, which may not be in force; see {@link PresetSchedule}. */
   public Optional<PresetRecord> preset() {
     return find(ObjectKind.PRESET, PresetRecord.NAME, PresetRecord.class);
   }
 
-  /** Returns every endpoint, by name. */
+  /** Returns every endpoint, sorted by name. */
   public List<EndpointRecord> endpoints() {
     return endpoints;
   }
 
-  /** Returns the endpoints of a data centre, by name. */
+  /** Returns the endpoints of a data centre, sorted by name. */
   public List<EndpointRecord> endpoints(DataCentreId dataCentre) {
     return endpoints.stream().filter(one -> one.dataCentre().equals(dataCentre)).toList();
   }
 
-  /** Returns this configuration with other copies of some of its endpoints. */
+  /** Returns a copy of this snapshot with some endpoints replaced. */
   ConfigurationSnapshot withEndpoints(List<EndpointRecord> changed, List<EndpointRecord> all) {
     return new ConfigurationSnapshot(objects.with(changed), revision, all);
   }
 
-  /** Returns every adapter, by name; costs time in proportion to their number. */
+  /** Returns every adapter, sorted by name; takes time linear in the number of objects. */
   public List<AdapterRecord> adapters() {
     return objects.all().stream()
         .filter(AdapterRecord.class::isInstance)
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationStore.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationStore.java
@@ -14,7 +14,8 @@
 import java.util.Set;
 
 /**
- * Gathers configuration objects from the platform and from peers, and applies only what is newer.
+ * Replica of the configuration objects, fed by the platform and by peers; applies only newer
+ * versions.
  *
  * <pre>{@code
  * ConfigurationStore store = ConfigurationStore.create(ConfigurationStore.TOMBSTONE_MILLIS);
@@ -22,23 +23,26 @@
  * ConfigurationSnapshot snapshot = store.snapshot();
  * }</pre>
  *
- * <p>An object's version is the platform's one counter, so whatever order news comes in, from
- * whomever, the highest stays. Not thread-safe; one shard drives it, and snapshots may be read by
+ * <p>Object versions come from a single platform counter, so the highest version wins regardless of
+ * the source and order of updates. Not thread-safe; confined to one shard. Snapshots may be read by
  * any thread.
  */
 public final class ConfigurationStore {
 
-  /** How long deletions are remembered: longer than any peer is away and comes back as it was. */
+  /**
+   * Retention of tombstones; exceeds the time for which a peer can be disconnected and rejoin with
+   * its old state.
+   */
   public static final long TOMBSTONE_MILLIS = 3_600_000;
 
   private final long tombstoneMillis;
-  private final Map<ObjectKey, Long> tombstonesSince = new HashMap<>();
+  private final Map<ObjectKey, Long> tombstoneTimes = new HashMap<>();
   private final long[] bucketSums = new long[VersionedMap.BUCKETS];
   private VersionedMap objects = VersionedMap.EMPTY;
   private ConfigurationSnapshot snapshot =
       new ConfigurationSnapshot(VersionedMap.EMPTY, 0, List.of());
   private final Map<ObjectKind, Long> listedUpTo = new EnumMap<>(ObjectKind.class);
-  private long forgottenUpTo;
+  private long purgedUpTo;
   private boolean listingNeeded;
 
   private ConfigurationStore(long tombstoneMillis) {
@@ -48,7 +52,7 @@
   /**
    * Returns an empty store.
    *
-   * @param tombstoneMillis how long deletions are remembered
+   * @param tombstoneMillis retention of tombstones, in milliseconds
    */
   public static ConfigurationStore create(long tombstoneMillis) {
     if (tombstoneMillis <= 0) {
@@ -58,15 +62,16 @@
   }
 
   /**
-   * Takes in objects from a watch or a peer.
+   * Applies objects from a watch or a peer.
    *
    * @param now the time
-   * @param news the objects, in any order, old ones among them
-   * @return those that were newer, to be pushed on
+   * @param updates the objects, in any order, possibly outdated
+   * @return the newer objects, to be forwarded
    */
-  public List<ConfigurationObject> apply(long now, Collection<? extends ConfigurationObject> news) {
+  public List<ConfigurationObject> apply(
+      long now, Collection<? extends ConfigurationObject> updates) {
     Map<ObjectKey, ConfigurationObject> newer = new HashMap<>();
-    for (ConfigurationObject object : news) {
+    for (ConfigurationObject object : updates) {
       if (isNewer(object, newer.get(object.key()))) {
         newer.put(object.key(), object);
       }
@@ -75,14 +80,14 @@
   }
 
   /**
-   * Takes in a complete listing from the platform, in which what is missing was deleted; one that
-   * is older than a former listing changes nothing.
+   * Applies a complete listing from the platform; objects missing from it have been deleted. A
+   * listing older than a previous one is ignored.
    *
    * @param now the time
-   * @param revision the platform's counter at the listing
+   * @param revision the value of the platform's counter for the listing
    * @param kinds the kinds that were listed
    * @param listed all objects of these kinds
-   * @return those that were newer, deletions among them, to be pushed on
+   * @return the newer objects, including tombstones, to be forwarded
    */
   public List<ConfigurationObject> applyListing(
       long now, long revision, Set<ObjectKind> kinds, Collection<ConfigurationObject> listed) {
@@ -97,14 +102,14 @@
         newer.put(object.key(), object);
       }
     }
-    for (ConfigurationObject known : objects.all()) {
+    for (ConfigurationObject held : objects.all()) {
       boolean deleted =
-          kinds.contains(known.key().kind())
-              && !(known instanceof Tombstone)
-              && !present.contains(known.key())
-              && known.version() <= revision;
+          kinds.contains(held.key().kind())
+              && !(held instanceof Tombstone)
+              && !present.contains(held.key())
+              && held.version() <= revision;
       if (deleted) {
-        newer.put(known.key(), new Tombstone(known.key(), revision));
+        newer.put(held.key(), new Tombstone(held.key(), revision));
       }
     }
     kinds.forEach(kind -> listedUpTo.put(kind, revision));
@@ -112,10 +117,10 @@
     return commit(now, newer.values());
   }
 
-  /** Lets time pass: forgets deletions that are old enough. */
+  /** Removes tombstones whose retention has elapsed. */
   public void tick(long now) {
     List<ObjectKey> old = new ArrayList<>();
-    tombstonesSince.forEach(
+    tombstoneTimes.forEach(
         (key, since) -> {
           if (now - since >= tombstoneMillis) {
             old.add(key);
@@ -126,36 +131,37 @@
     }
     for (ObjectKey key : old) {
       long version = versionOf(key);
-      forgottenUpTo = Math.max(forgottenUpTo, version);
-      tombstonesSince.remove(key);
+      purgedUpTo = Math.max(purgedUpTo, version);
+      tombstoneTimes.remove(key);
     }
     objects = objects.without(old);
   }
 
-  /** Returns the configuration as it stands. */
+  /** Returns the current configuration. */
   public ConfigurationSnapshot snapshot() {
     return snapshot;
   }
 
-  /** Returns one object, if it is held and not deleted. */
+  /** Returns an object, if it is present and not deleted. */
   public Optional<ConfigurationObject> find(ObjectKey key) {
     return objects.find(key).filter(object -> !(object instanceof Tombstone));
   }
 
-  /** Returns the version of an object, or of its deletion; 0 if nothing is known of it. */
+  /** Returns the version of an object or of its tombstone; 0 if neither is present. */
   public long versionOf(ObjectKey key) {
     return objects.find(key).map(ConfigurationObject::version).orElse(0L);
   }
 
   /**
-   * Returns whether something came up that only a listing from the platform can decide: an object
-   * unknown here that is older than a forgotten deletion.
+   * Returns whether a listing from the platform is needed: an update contained an object that is
+   * missing here and not newer than a purged tombstone, so only the platform can decide whether it
+   * was deleted.
    */
   public boolean isListingNeeded() {
     return listingNeeded;
   }
 
-  /** Returns the sum of what is held. */
+  /** Returns the digest of the objects held. */
   public ConfigurationDigest digest() {
     List<Long> sums = new ArrayList<>(bucketSums.length);
     for (long sum : bucketSums) {
@@ -165,7 +171,7 @@
   }
 
   /**
-   * Returns the versions held in some buckets, for a peer whose digest differs there.
+   * Returns the object versions in the given buckets, for a peer with a different digest in them.
    *
    * @param buckets the buckets
    */
@@ -178,16 +184,16 @@
   }
 
   /**
-   * Returns the objects of some buckets that a peer lacks or holds in an older version, and the
-   * deletion of those it holds that a listing from the platform showed to be gone.
+   * Returns the objects in the given buckets that a peer lacks or holds in an older version, and
+   * tombstones for objects of the peer that a platform listing showed to be deleted.
    *
    * @param buckets the buckets in which the digests differ
-   * @param theirs the versions that the peer holds in them
+   * @param peerVersions the versions that the peer holds in these buckets
    */
   public List<ConfigurationObject> deltaFor(
-      Collection<Integer> buckets, Map<ObjectKey, Long> theirs) {
+      Collection<Integer> buckets, Map<ObjectKey, Long> peerVersions) {
     List<ConfigurationObject> delta = new ArrayList<>();
-    theirs.forEach(
+    peerVersions.forEach(
         (key, version) -> {
           if (version <= listedUpTo(key.kind()) && find(key).isEmpty()) {
             delta.add(new Tombstone(key, listedUpTo(key.kind())));
@@ -195,7 +201,7 @@
         });
     for (int bucket : buckets) {
       for (ConfigurationObject object : objects.bucket(bucket)) {
-        if (object.version() > theirs.getOrDefault(object.key(), 0L)) {
+        if (object.version() > peerVersions.getOrDefault(object.key(), 0L)) {
           delta.add(object);
         }
       }
@@ -203,7 +209,7 @@
     return delta;
   }
 
-  /** Returns everything held, deletions included, for a peer that starts. */
+  /** Returns all objects, including tombstones, for a starting peer. */
   public List<ConfigurationObject> all() {
     return objects.all();
   }
@@ -212,19 +218,19 @@
     return listedUpTo.getOrDefault(kind, 0L);
   }
 
-  // A daemon that was cut off pushes what was deleted meanwhile. The tombstone's version refuses
-  // it; once the tombstone is forgotten, its version still bounds what unknown objects are
-  // believed, and a listing from the platform decides about the rest.
+  // A rejoining daemon may push objects that were deleted while it was disconnected. The
+  // tombstone's version rejects them. After the tombstone is purged, unknown objects up to its
+  // version are still rejected, and a listing from the platform restores those that exist.
   private boolean isNewer(ConfigurationObject object, ConfigurationObject sameBatch) {
     long known = Math.max(versionOf(object.key()), sameBatch == null ? 0 : sameBatch.version());
     if (object.version() <= known) {
       return false;
     }
     if (find(object.key()).isEmpty() && object.version() <= listedUpTo(object.key().kind())) {
-      // Not in a listing that would have shown it: deleted before, by a change that was missed.
+      // Absent from a later listing, so it was deleted by a change that this daemon missed.
       return false;
     }
-    if (known == 0 && object.version() <= forgottenUpTo) {
+    if (known == 0 && object.version() <= purgedUpTo) {
       listingNeeded |= !(object instanceof Tombstone);
       return false;
     }
@@ -240,27 +246,27 @@
     for (ConfigurationObject object : newer) {
       ObjectKey key = object.key();
       int bucket = VersionedMap.bucketOf(key);
-      bucketSums[bucket] += sumOf(object) - objects.find(key).map(held -> sumOf(held)).orElse(0L);
+      bucketSums[bucket] += hashOf(object) - objects.find(key).map(held -> hashOf(held)).orElse(0L);
       revision = Math.max(revision, object.version());
       endpointsChanged |= key.kind() == ObjectKind.ENDPOINT;
-      noteTombstone(now, object);
+      trackTombstone(now, object);
     }
     objects = objects.with(newer);
     snapshot =
         new ConfigurationSnapshot(
-            objects, revision, endpointsChanged ? endpointsNow() : snapshot.endpoints());
+            objects, revision, endpointsChanged ? sortedEndpoints() : snapshot.endpoints());
     return List.copyOf(newer);
   }
 
-  private void noteTombstone(long now, ConfigurationObject object) {
+  private void trackTombstone(long now, ConfigurationObject object) {
     if (object instanceof Tombstone) {
-      tombstonesSince.put(object.key(), now);
+      tombstoneTimes.put(object.key(), now);
     } else {
-      tombstonesSince.remove(object.key());
+      tombstoneTimes.remove(object.key());
     }
   }
 
-  private List<EndpointRecord> endpointsNow() {
+  private List<EndpointRecord> sortedEndpoints() {
     return objects.all().stream()
         .filter(EndpointRecord.class::isInstance)
         .map(EndpointRecord.class::cast)
@@ -268,9 +274,9 @@
         .toList();
   }
 
-  // Tombstones count as nothing, since each daemon forgets them at a time of its own; a peer that
-  // missed a deletion still differs by the object it holds.
-  private static long sumOf(ConfigurationObject object) {
+  // Tombstones do not contribute, since each daemon purges them at a different time. A peer that
+  // missed a deletion still differs by the object that it holds.
+  private static long hashOf(ConfigurationObject object) {
     return object instanceof Tombstone
         ? 0
         : StableHash.of(object.key().toString(), object.version()).bits();
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/EndpointState.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/EndpointState.java
@@ -1,9 +1,9 @@
 package io.sequoiapass.coordination.version;
 
-/** Whether an endpoint takes new work. */
+/** Whether an endpoint accepts new work. */
 public enum EndpointState {
-  /** Takes new work. */
+  /** Accepts new work. */
   ACTIVE,
-  /** Finishes what it has. */
+  /** Completes running work and accepts no new work. */
   LEAVING
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/EndpointType.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/EndpointType.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.coordination.version;
 
-/** What runs at an endpoint. */
+/** The type of process that runs at an endpoint. */
 public enum EndpointType {
   /** A model engine with slots for adapters. */
   ENGINE,
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/FanOut.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/FanOut.java
@@ -7,32 +7,33 @@
 import java.util.List;
 
 /**
- * Spreads a push over a data centre as a tree: the sender reaches a few peers, each of which passes
- * it on to the peers named in its copy.
+ * Dissemination tree for pushes within a data centre: the sender sends to a few peers, each of
+ * which forwards the push to the peers named in its copy.
  *
  * <pre>{@code
- * List<DaemonId> order = FanOut.order(self, neighbours, heard);
+ * List<DaemonId> order = FanOut.order(self, neighbours, live);
  * for (FanOut.Branch branch : FanOut.branches(order)) {
  *   send(branch.child(), push.passedOnTo(branch.rest()));
  * }
  * }</pre>
  *
- * <p>Each copy names who is to get it, so daemons need not agree on the members. A peer that dies
- * with a copy takes the copies of its branch with it; their digests differ from the sender's next
- * heartbeat on, and the repair brings what they lack. Safe for use by several threads.
+ * <p>Each copy names its further recipients, so daemons need not agree on the membership. If a peer
+ * fails before forwarding, its branch misses the push; the branch's digests then differ from the
+ * sender's next heartbeat, and the repair exchange delivers the missing objects. Safe for use by
+ * several threads.
  */
 public final class FanOut {
 
-  /** Two hops reach 20 daemons; a data centre of the size to design for has 17. */
+  /** Two hops reach 20 daemons; a data centre of the design size has 17. */
   private static final int WIDTH = 4;
 
   private FanOut() {}
 
   /**
-   * Is one peer to send to, and those to which it passes the push on.
+   * A direct recipient and the peers to which it forwards the push.
    *
    * @param child the peer
-   * @param rest the others of its branch
+   * @param rest the other peers of its branch
    */
   public record Branch(DaemonId child, List<DaemonId> rest) {
 
@@ -43,27 +44,27 @@
   }
 
   /**
-   * Returns the targets in the order of their places in the tree: those heard from first, since a
-   * silent one would lose the copies of its branch; among them by rendezvous, so that the watchers
-   * of a data centre load different peers.
+   * Returns the targets in tree order: live ones first, since an unresponsive one would lose the
+   * copies of its branch; within each group by rendezvous hash, so that the watchers of a data
+   * centre put load on different peers.
    *
-   * @param sender who sends
-   * @param targets all that are to be reached
-   * @param heard those heard from
+   * @param sender the sending daemon
+   * @param targets all recipients
+   * @param live the live daemons
    */
   public static List<DaemonId> order(
-      DaemonId sender, Collection<DaemonId> targets, Collection<DaemonId> heard) {
+      DaemonId sender, Collection<DaemonId> targets, Collection<DaemonId> live) {
     List<DaemonId> ranked = RendezvousHash.rank("push/" + sender, targets);
     List<DaemonId> order = new ArrayList<>();
-    ranked.stream().filter(heard::contains).forEach(order::add);
-    ranked.stream().filter(target -> !heard.contains(target)).forEach(order::add);
+    ranked.stream().filter(live::contains).forEach(order::add);
+    ranked.stream().filter(target -> !live.contains(target)).forEach(order::add);
     return order;
   }
 
   /**
    * Returns the branches of a tree.
    *
-   * @param targets the targets, in the order of their places
+   * @param targets the targets, in tree order
    */
   public static List<Branch> branches(List<DaemonId> targets) {
     int children = Math.min(WIDTH, targets.size());
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/HintedSnapshots.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/HintedSnapshots.java
@@ -5,51 +5,55 @@
 import java.util.List;
 
 /**
- * Shows endpoints on hosts that leave as leaving in the snapshots that requests use.
+ * Applies host hints to configuration snapshots: endpoints on leaving or absent hosts are marked as
+ * leaving.
  *
  * <pre>{@code
  * ConfigurationSnapshot seen = hinted.apply(store.snapshot(), monitor.hints());
  * }</pre>
  *
- * <p>The store itself stays as the platform has it, so digests and listings compare equal, and a
- * hint can only take an endpoint out of service, never bring one back that the configuration says
- * is leaving. The list of endpoints stays the same object while neither it nor the hints change,
- * which what is derived from it depends on. Not thread-safe; one shard drives it.
+ * <p>The store keeps the platform's objects unmodified, so that digests and listings compare equal.
+ * A hint can only take an endpoint out of service; it never reactivates one that the configuration
+ * marks as leaving. The endpoint list keeps its identity while neither the configured endpoints nor
+ * the hints change; caches derived from the list rely on this. Not thread-safe; confined to one
+ * shard.
  */
 public final class HintedSnapshots {
 
-  private List<EndpointRecord> from = List.of();
-  private HostHints by = HostHints.NONE;
+  private List<EndpointRecord> configuredEndpoints = List.of();
+  private HostHints appliedHints = HostHints.NONE;
   private List<EndpointRecord> endpoints = List.of();
-  private List<EndpointRecord> changed = List.of();
+  private List<EndpointRecord> leavingEndpoints = List.of();
 
   /**
    * Returns the configuration with the hints applied.
    *
    * @param snapshot the configuration
-   * @param hints what the host list says
+   * @param hints the hints from the host list
    */
   public ConfigurationSnapshot apply(ConfigurationSnapshot snapshot, HostHints hints) {
-    if (snapshot.endpoints() != from || !hints.equals(by)) {
-      change(snapshot, hints);
+    if (snapshot.endpoints() != configuredEndpoints || !hints.equals(appliedHints)) {
+      update(snapshot, hints);
     }
-    return changed.isEmpty() ? snapshot : snapshot.withEndpoints(changed, endpoints);
+    return leavingEndpoints.isEmpty()
+        ? snapshot
+        : snapshot.withEndpoints(leavingEndpoints, endpoints);
   }
 
-  private void change(ConfigurationSnapshot snapshot, HostHints hints) {
+  private void update(ConfigurationSnapshot snapshot, HostHints hints) {
     List<EndpointRecord> all = new ArrayList<>();
-    List<EndpointRecord> drained = new ArrayList<>();
+    List<EndpointRecord> leaving = new ArrayList<>();
     for (EndpointRecord endpoint : snapshot.endpoints()) {
-      boolean drains = endpoint.takesNewWork() && hints.drains(endpoint);
-      EndpointRecord seen = drains ? endpoint.leaving() : endpoint;
+      boolean isDrained = endpoint.takesNewWork() && hints.drains(endpoint);
+      EndpointRecord seen = isDrained ? endpoint.leaving() : endpoint;
       all.add(seen);
-      if (drains) {
-        drained.add(seen);
+      if (isDrained) {
+        leaving.add(seen);
       }
     }
-    from = snapshot.endpoints();
-    by = hints;
+    configuredEndpoints = snapshot.endpoints();
+    appliedHints = hints;
     endpoints = List.copyOf(all);
-    changed = List.copyOf(drained);
+    leavingEndpoints = List.copyOf(leaving);
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/HostHints.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/HostHints.java
@@ -13,19 +13,19 @@
 import java.util.stream.Collectors;
 
 /**
- * Holds the hosts of one data centre that the platform's list does not show as live.
+ * The hosts of one data centre that the platform's host list does not show as live.
  *
  * <pre>{@code
  * if (hints.isNewerThan(held) && hints.drains(endpoint)) { ... }
  * }</pre>
  *
- * <p>The list has no version of its own, so its readers number what they make of it: a reader that
- * finds something else counts on from the highest number it has heard. Instances are immutable and
- * safe for use by several threads.
+ * <p>The list has no version of its own, so its readers assign versions to the hints: a reader that
+ * finds a change increments the highest version it has received. Instances are immutable and safe
+ * for use by several threads.
  */
 public final class HostHints {
 
-  /** Nothing read and nothing heard yet. */
+  /** The empty hints, before the first reading or push. */
   public static final HostHints NONE = new HostHints(0, "", Map.of());
 
   private final long version;
@@ -41,7 +41,7 @@
   /**
    * Returns hints.
    *
-   * @param version the number that their reader gave them, from 1
+   * @param version the version assigned by the reader, from 1
    * @param reader the daemon that read the list
    * @param reports the hosts that are not live
    */
@@ -56,12 +56,12 @@
     return new HostHints(version, reader.value(), new TreeMap<>(byHost));
   }
 
-  /** Returns the number; 0 for {@link #NONE}. */
+  /** Returns the version; 0 for {@link #NONE}. */
   public long version() {
     return version;
   }
 
-  /** Returns the name of the daemon that read them; empty for {@link #NONE}. */
+  /** Returns the name of the daemon that read the list; empty for {@link #NONE}. */
   public String reader() {
     return reader;
   }
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Returns what is said of a host.
+   * Returns the state of a host.
    *
    * @param host the host
    */
@@ -82,20 +82,20 @@
   }
 
   /**
-   * Returns whether an endpoint stands on a host that is leaving or gone.
+   * Returns whether an endpoint runs on a host that is leaving or absent.
    *
    * @param endpoint the endpoint
    */
   public boolean drains(EndpointRecord endpoint) {
     return reports.containsKey(endpoint.host())
-        || reports.values().stream().anyMatch(one -> one.endpoints().contains(endpoint.id()));
+        || reports.values().stream().anyMatch(report -> report.endpoints().contains(endpoint.id()));
   }
 
   /**
-   * Returns whether these replace others. Two readers may give the same number at once; the
-   * reader's name decides then, so that all daemons keep the same ones.
+   * Returns whether these hints supersede others. Two readers may assign the same version
+   * concurrently; the reader's name breaks the tie, so that all daemons converge on the same hints.
    *
-   * @param other the others
+   * @param other the hints to compare with
    */
   public boolean isNewerThan(HostHints other) {
     return version != other.version ? version > other.version : reader.compareTo(other.reader) > 0;
@@ -119,7 +119,9 @@
     return version + " by " + reader + ": " + reports.values();
   }
 
-  /** Returns a sum that differs for different hints; 0 for {@link #NONE}. */
+  /**
+   * Returns a hash of the version and the reader, which identify the hints; 0 for {@link #NONE}.
+   */
   public long digest() {
     return version == 0 ? 0 : StableHash.of(reader, version).bits();
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/HostListMonitor.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/HostListMonitor.java
@@ -14,7 +14,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Makes hints of the platform's host list, and keeps the newest of those that peers made of it.
+ * Derives hints from the platform's host list, and keeps the newest hints among its own and those
+ * of peers.
  *
  * <pre>{@code
  * HostListMonitor monitor = HostListMonitor.create(self);
@@ -22,21 +23,23 @@
  * boolean changed = monitor.received(pushed);
  * }</pre>
  *
- * <p>The list lags, and two of its readers may see it in a different state. So a host that leaves
- * is believed at once, and one that is live again only once this daemon has read so for a while:
- * work withheld from a live endpoint costs a little speed, work given to one that leaves is cut
- * off. Not thread-safe; one shard drives it.
+ * <p>The list lags, and two readers may see different states of it. A host is therefore treated as
+ * leaving immediately, but as live again only after this daemon has read it as live for {@link
+ * #RECOVERY_DELAY_MILLIS}: withholding work from a live endpoint costs little throughput, whereas
+ * work sent to a leaving one is cut off. Not thread-safe; confined to one shard.
  */
 public final class HostListMonitor {
 
-  /** Longer than two readings, so that one reading of a flapping list brings nothing back. */
-  public static final long BACK_AFTER_MILLIS = 2_500;
+  /**
+   * Longer than two read intervals, so that one reading of a flapping list does not restore a host.
+   */
+  public static final long RECOVERY_DELAY_MILLIS = 2_500;
 
-  /** A list that lost more than this share of its hosts at once is broken rather than true. */
-  private static final double CREDIBLE_LOSS = 0.5;
+  /** A list that loses more than this share of its hosts in one reading is treated as faulty. */
+  private static final double MAX_PLAUSIBLE_LOSS_SHARE = 0.5;
 
   private final DaemonId self;
-  private final Set<HostId> listedBefore = new HashSet<>();
+  private final Set<HostId> previouslyListed = new HashSet<>();
   private final Map<HostId, Long> liveSince = new HashMap<>();
   private HostHints hints = HostHints.NONE;
 
@@ -45,7 +48,7 @@
   }
 
   /**
-   * Returns a monitor that knows nothing yet.
+   * Returns a monitor without hints.
    *
    * @param self this daemon
    */
@@ -53,17 +56,17 @@
     return new HostListMonitor(self);
   }
 
-  /** Returns the newest hints known. */
+  /** Returns the newest hints. */
   public HostHints hints() {
     return hints;
   }
 
   /**
-   * Takes in a reading of the list.
+   * Processes a reading of the list.
    *
    * @param now the time
    * @param listed the hosts of the data centre in the list, live or leaving
-   * @param inUse the hosts on which endpoints are configured; others are not reported as gone
+   * @param inUse the hosts on which endpoints are configured; others are not reported as absent
    * @return the hints to push, if the reading changes them
    */
   public Optional<HostHints> read(long now, Collection<HostReport> listed, Set<HostId> inUse) {
@@ -74,10 +77,11 @@
     for (HostReport report : byHost.values()) {
       stateOf(now, report).ifPresent(state -> next.put(report.host(), state));
     }
-    missing(byHost.keySet(), inUse).forEach(gone -> next.put(gone.host(), gone));
-    // Hosts come and go by the thousand a day; one that nothing stands on any more is forgotten.
-    listedBefore.retainAll(inUse);
-    listedBefore.addAll(byHost.keySet());
+    missing(byHost.keySet(), inUse).forEach(absent -> next.put(absent.host(), absent));
+    // Thousands of hosts join and leave per day; those without endpoints are removed to bound
+    // memory.
+    previouslyListed.retainAll(inUse);
+    previouslyListed.addAll(byHost.keySet());
     if (next.equals(byHost(hints))) {
       return Optional.empty();
     }
@@ -97,16 +101,16 @@
       return Optional.empty();
     }
     long since = liveSince.computeIfAbsent(host, first -> now);
-    return now - since >= BACK_AFTER_MILLIS ? Optional.empty() : Optional.of(held);
+    return now - since >= RECOVERY_DELAY_MILLIS ? Optional.empty() : Optional.of(held);
   }
 
-  // A list that comes back empty or cut short would take every endpoint out of service at once,
-  // and nothing would be served. What was reported before such a reading stands; single hosts that
-  // are gone are believed.
+  // An empty or truncated list would take every endpoint out of service, and no request would be
+  // served. Such a reading adds no absent hosts, and the hosts reported earlier stay reported; the
+  // absence of single hosts is accepted.
   private Collection<HostReport> missing(Set<HostId> listed, Set<HostId> inUse) {
-    Set<HostId> gone = new HashSet<>(listedBefore);
-    gone.removeAll(listed);
-    boolean credible = gone.size() <= CREDIBLE_LOSS * listedBefore.size();
+    Set<HostId> absent = new HashSet<>(previouslyListed);
+    absent.removeAll(listed);
+    boolean plausible = absent.size() <= MAX_PLAUSIBLE_LOSS_SHARE * previouslyListed.size();
     Map<HostId, HostReport> held = byHost(hints);
     Map<HostId, HostReport> missing = new HashMap<>();
     held.forEach(
@@ -116,19 +120,19 @@
             missing.put(host, report);
           }
         });
-    if (credible) {
-      gone.retainAll(inUse);
-      gone.forEach(
+    if (plausible) {
+      absent.retainAll(inUse);
+      absent.forEach(
           host -> missing.putIfAbsent(host, new HostReport(host, HostHint.ABSENT, Set.of())));
     }
     return missing.values();
   }
 
   /**
-   * Takes in the hints of a peer.
+   * Processes the hints of a peer.
    *
    * @param pushed the hints
-   * @return whether they replace those held
+   * @return whether they supersede the current hints
    */
   public boolean received(HostHints pushed) {
     if (!pushed.isNewerThan(hints)) {
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/HostReport.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/HostReport.java
@@ -7,15 +7,15 @@
 import java.util.Set;
 
 /**
- * Is what the platform's list says of one host; immutable and safe for use by several threads.
+ * State of one host as listed by the platform; immutable and safe for use by several threads.
  *
  * @param host the host
- * @param hint what the list says of it
+ * @param hint state of the host in the list
  * @param endpoints the endpoints that the list places on it
  */
 public record HostReport(HostId host, HostHint hint, Set<EndpointId> endpoints) {
 
-  /** Copies the set and checks the parts. */
+  /** Copies the set and rejects null components. */
   public HostReport {
     Objects.requireNonNull(host, "host");
     Objects.requireNonNull(hint, "hint");
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/ObjectKey.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/ObjectKey.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * Names one configuration object.
+ * Key of a configuration object.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
@@ -16,7 +16,7 @@
   private static final Comparator<ObjectKey> ORDER =
       Comparator.comparing(ObjectKey::kind).thenComparing(ObjectKey::name);
 
-  /** Checks that both parts are there. */
+  /** Rejects a null kind and a blank name. */
   public ObjectKey {
     Objects.requireNonNull(kind, "kind");
     if (name == null || name.isBlank()) {
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/ObjectKind.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/ObjectKind.java
@@ -11,7 +11,7 @@
   /** The preset; one object. */
   PRESET;
 
-  /** Returns the kind's name in the platform's paths. */
+  /** Returns the name of the kind in platform paths. */
   public String pathName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/Preset.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/Preset.java
@@ -3,16 +3,17 @@
 import io.sequoiapass.coordination.request.Priority;
 
 /**
- * The operators' choice of how the whole system weighs its work; exactly one is in force.
+ * Operating mode selected by the operators for the entire system; exactly one is in force.
  *
- * <p>Each is a set of answers that decisions ask for, so that no decision names a preset.
+ * <p>Each preset is a set of parameters that decisions read, so that no decision depends on a
+ * specific preset.
  */
 public enum Preset {
-  /** Ordinary days: some prefetch, batch work, planned moves. */
+  /** Normal operation: limited prefetch, batch work, planned moves. */
   ORDINARY(1.0, 0.25, 1.0, true, true),
-  /** Peaks: short queues, loads for waiting requests only, no batch work, nothing moved. */
+  /** Peak load: short queues, loads for waiting requests only, no batch work, no planned moves. */
   PEAK(0.5, 0.0, 2.0, false, false),
-  /** Planned work on hosts: long queues bridge restarts, and endpoints move. */
+  /** Planned host maintenance: long queues bridge restarts, and endpoints may be moved. */
   MAINTENANCE(1.5, 0.1, 1.0, true, true);
 
   private final double queueBoundFactor;
@@ -35,28 +36,32 @@
   }
 
   /**
-   * Returns the bound of a queue.
+   * Returns the bound of a queue under this preset.
    *
-   * @param ordinaryBound its bound on ordinary days
+   * @param ordinaryBound the bound under ORDINARY
    */
   public int queueBound(int ordinaryBound) {
     return Math.max(1, (int) Math.round(ordinaryBound * queueBoundFactor));
   }
 
-  /** Returns the share of the weight store's loads that may go to adapters nobody waits for. */
+  /**
+   * Returns the share of the weight store's loads that may be used to prefetch adapters without
+   * waiting requests.
+   */
   public double prefetchShare() {
     return prefetchShare;
   }
 
   /**
-   * Returns by how much load stalls weigh more against batch efficiency than on ordinary days: at a
-   * peak the weight store is the first to be full, and each load saved shortens all other waits.
+   * Returns the weight of load stalls relative to batch efficiency, as a multiple of the ORDINARY
+   * weight. At peak load the weight store saturates first, and each avoided load shortens all other
+   * waits.
    */
   public double stallFactor() {
     return stallFactor;
   }
 
-  /** Returns whether new requests of a priority are admitted. */
+  /** Returns whether new requests with the given priority are admitted. */
   public boolean admits(Priority priority) {
     return batchAdmitted || priority != Priority.BATCH;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/PresetSchedule.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/PresetSchedule.java
@@ -4,19 +4,19 @@
 import java.util.Optional;
 
 /**
- * Tells which preset is in force: each change names the moment at which every daemon switches.
+ * Determines which preset is in force; each change carries the time at which all daemons switch.
  *
  * <pre>{@code
  * PresetSchedule schedule = PresetSchedule.empty();
- * schedule.learned(record);
+ * schedule.add(record);
  * Optional<Preset> preset = schedule.inForce(wallClock.millis());
  * }</pre>
  *
- * <p>Rules: the highest version that is known and whose moment has come is in force; a change that
- * was replaced before its moment never is. A daemon that is cut off keeps its last, and a change
- * that it knew before the cut still comes into force at its moment; one that it learns late, at
- * once. A daemon that knows no preset whose moment has come has none and must not serve yet: it
- * cannot tell what the others have. Not thread-safe; one shard drives it.
+ * <p>The highest received version whose effective time has passed is in force; a change that is
+ * replaced before its effective time never takes effect. A disconnected daemon keeps its last
+ * preset. A change received before the disconnection still takes effect at its time; one received
+ * late takes effect immediately. A daemon without a preset in force must not serve, since it cannot
+ * determine the preset of the other daemons. Not thread-safe; confined to one shard.
  */
 public final class PresetSchedule {
 
@@ -25,18 +25,18 @@
 
   private PresetSchedule() {}
 
-  /** Returns a schedule that knows no preset. */
+  /** Returns a schedule without a preset. */
   public static PresetSchedule empty() {
     return new PresetSchedule();
   }
 
   /**
-   * Takes in a preset object; an older one than the newest known changes nothing.
+   * Adds a preset object; ignores it unless it is newer than all objects added before.
    *
    * @param record the object
-   * @return whether it is newer
+   * @return whether the object was newer
    */
-  public boolean learned(PresetRecord record) {
+  public boolean add(PresetRecord record) {
     if (record.version() <= newestVersion()) {
       return false;
     }
@@ -45,13 +45,13 @@
   }
 
   /**
-   * Returns the preset in force, if one is known.
+   * Returns the preset in force, if any.
    *
-   * @param wallMillis the wall clock
+   * @param wallMillis the wall-clock time, in milliseconds
    */
   public Optional<Preset> inForce(long wallMillis) {
-    // Once switched, a wall clock that steps back does not switch again: two daemons would differ
-    // for as long as the step.
+    // A switch is not undone when the wall clock steps back; otherwise two daemons would differ for
+    // the length of the step.
     if (pending.isPresent() && wallMillis >= pending.get().effectiveAtWallMillis()) {
       inForce = pending;
       pending = Optional.empty();
@@ -59,12 +59,15 @@
     return inForce.map(PresetRecord::preset);
   }
 
-  /** Returns the change that has not come into force, if there is one. */
+  /** Returns the change that has not taken effect, if any. */
   public Optional<PresetRecord> pending() {
     return pending;
   }
 
-  /** Returns the record in force as of the last question, so that a new daemon can be told both. */
+  /**
+   * Returns the record in force as of the last call to {@link #inForce}, so that a new daemon can
+   * be sent both records.
+   */
   public Optional<PresetRecord> current() {
     return inForce;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/RepairSchedule.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/RepairSchedule.java
@@ -6,48 +6,48 @@
 import java.util.TreeMap;
 
 /**
- * Decides when a peer whose digest differs is asked for what differs.
+ * Decides when to request the differing objects from a peer with a different digest (anti-entropy).
  *
  * <pre>{@code
- * schedule.heard(now, peer, beat.configuration(), root);
- * schedule.due(now, root).ifPresent(peer -> ask(peer));
+ * schedule.digestReceived(now, peer, beat.configuration(), root);
+ * schedule.due(now, root).ifPresent(peer -> request(peer));
  * }</pre>
  *
- * <p>While a change is on its way to all, digests differ for some milliseconds. An exchange costs 2
- * KB and the objects of a bucket, so one is begun only if nothing arrived for a moment, or if the
- * two still differ on later heartbeats. Not thread-safe; one shard drives it.
+ * <p>While a change propagates, digests differ for some milliseconds. An exchange costs 2 KB plus
+ * the objects of a bucket, so it starts only if the own digest has been stable for a short time, or
+ * if the two still differ on later heartbeats. Not thread-safe; confined to one shard.
  */
 public final class RepairSchedule {
 
-  /** Longer than a push takes to reach all over two hops, also on a busy host. */
-  private static final long SETTLE_MILLIS = 100;
+  /** Exceeds the time in which a push reaches all daemons over two hops, even on a busy host. */
+  private static final long STABLE_DIGEST_MILLIS = 100;
 
-  /** More than one heartbeat: under steady changes a push that was lost shows by this. */
-  private static final long LASTING_MILLIS = 750;
+  /** Exceeds one heartbeat interval; detects a lost push while the digests change continuously. */
+  private static final long PERSISTENT_DIFFERENCE_MILLIS = 750;
 
-  /** One answer mostly mends the difference to every peer, so the next one waits for it. */
-  private static final long ASK_EVERY_MILLIS = 200;
+  /** One answer usually repairs the difference to every peer, so the next request waits for it. */
+  private static final long REQUEST_INTERVAL_MILLIS = 200;
 
   private final Map<DaemonId, Difference> differing = new TreeMap<>();
-  private long askedAt = Long.MIN_VALUE / 2;
+  private long requestedAt = Long.MIN_VALUE / 2;
 
   private RepairSchedule() {}
 
-  /** Returns a schedule on which nobody differs. */
+  /** Returns a schedule without differing peers. */
   public static RepairSchedule create() {
     return new RepairSchedule();
   }
 
   /**
-   * Takes in a peer's digest.
+   * Processes a peer's digest.
    *
    * @param now the time
    * @param peer the peer
-   * @param theirRoot the sum of what it holds
-   * @param ownRoot the sum of what is held here
+   * @param peerRoot the root of the peer's digest
+   * @param ownRoot the root of this daemon's digest
    */
-  public void heard(long now, DaemonId peer, long theirRoot, long ownRoot) {
-    if (theirRoot == ownRoot) {
+  public void digestReceived(long now, DaemonId peer, long peerRoot, long ownRoot) {
+    if (peerRoot == ownRoot) {
       differing.remove(peer);
     } else {
       differing.putIfAbsent(peer, new Difference(now, ownRoot));
@@ -55,13 +55,14 @@
   }
 
   /**
-   * Returns the peer to ask now, if there is one; it is not returned again until it is heard again.
+   * Returns the peer to send a request to, if one is due, and removes it until its next digest is
+   * received.
    *
    * @param now the time
-   * @param ownRoot the sum of what is held here
+   * @param ownRoot the root of this daemon's digest
    */
   public Optional<DaemonId> due(long now, long ownRoot) {
-    if (now - askedAt < ASK_EVERY_MILLIS) {
+    if (now - requestedAt < REQUEST_INTERVAL_MILLIS) {
       return Optional.empty();
     }
     Optional<DaemonId> found =
@@ -72,15 +73,16 @@
     found.ifPresent(
         peer -> {
           differing.remove(peer);
-          askedAt = now;
+          requestedAt = now;
         });
     return found;
   }
 
   private record Difference(long since, long ownRoot) {
 
-    boolean isDue(long now, long rootNow) {
-      return now - since >= (rootNow == ownRoot ? SETTLE_MILLIS : LASTING_MILLIS);
+    boolean isDue(long now, long currentRoot) {
+      return now - since
+          >= (currentRoot == ownRoot ? STABLE_DIGEST_MILLIS : PERSISTENT_DIFFERENCE_MILLIS);
     }
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/StableHash.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/StableHash.java
@@ -4,7 +4,7 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * A hash of a name and a version that is the same in every process.
+ * Hash of a name and a version that is identical in every process.
  *
  * @param bits the hash
  */
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/VersionedMap.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/VersionedMap.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 
 /**
- * An immutable map of objects, of which a changed copy shares all buckets but the changed one.
+ * A persistent (immutable) map of objects; a modified copy shares all unmodified buckets.
  *
- * <p>A plain copy of 27,000 adapters for each of 12 changes a second would take a good part of the
- * processor time that a daemon has for control. Instances are safe for use by several threads.
+ * <p>Copying 27,000 adapters in full for each of 12 changes per second would consume a large part
+ * of a daemon's CPU budget for control work. Instances are safe for use by several threads.
  */
 final class VersionedMap {
 
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/WatcherElection.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/WatcherElection.java
@@ -8,20 +8,20 @@
 import java.util.Objects;
 
 /**
- * Picks the daemons of a data centre that watch the platform for all of it.
+ * Selects the daemons of a data centre that watch the platform on behalf of all its daemons.
  *
  * <pre>{@code
  * WatcherElection election = WatcherElection.create(dataCentre, 2);
  * boolean watch = election.watchers(liveDaemons).contains(self);
  * }</pre>
  *
- * <p>Daemons that see different members may pick different watchers for a while; that costs calls
- * or delay and never correctness, since objects carry versions and digests repair what is missed.
- * Instances are immutable and safe for use by several threads.
+ * <p>Daemons with different membership views may temporarily select different watchers. That costs
+ * calls or delay but not correctness, since objects carry versions and the digest exchange repairs
+ * missed updates. Instances are immutable and safe for use by several threads.
  */
 public final class WatcherElection {
 
-  /** More would cost the platform a waiting call each and shorten nothing. */
+  /** Each further watcher would cost the platform one pending call without reducing the delay. */
   public static final int MAX_WATCHERS = 3;
 
   private final DataCentreId dataCentre;
@@ -36,7 +36,7 @@
    * Returns an election.
    *
    * @param dataCentre the data centre
-   * @param watchers how many daemons watch; 2 or 3, so that one cut watch delays nothing
+   * @param watchers the number of watchers; 2 or 3, so that the loss of one watch causes no delay
    */
   public static WatcherElection create(DataCentreId dataCentre, int watchers) {
     if (watchers < 2 || watchers > MAX_WATCHERS) {
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Returns the watchers among the daemons.
+   * Returns the daemons selected as watchers.
    *
-   * @param daemons the daemons heard from that have contact with the platform, the own one included
+   * @param daemons the live daemons that reach the platform, including this one
    */
   public List<DaemonId> watchers(Collection<DaemonId> daemons) {
     List<DaemonId> ranked = RendezvousHash.rank("watch/" + dataCentre, daemons);
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/WriteDecision.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/WriteDecision.java
@@ -1,25 +1,25 @@
 package io.sequoiapass.coordination.version;
 
 /**
- * What to do after one try of a conditional write.
+ * Outcome of one attempt of a conditional write, which determines the next step.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param outcome what became of the write
- * @param version the object's version: the own one after APPLIED, the other's after CONFLICT, the
- *     expected one after RETRY
- * @param maybeOverwritten after CONFLICT: whether the own change may have taken effect before the
- *     one that is there now
+ * @param outcome the outcome
+ * @param version the object's version: the one written after APPLIED, the conflicting one after
+ *     CONFLICT, the expected one after RETRY
+ * @param maybeOverwritten after CONFLICT: whether this write may have taken effect and then been
+ *     overwritten
  */
 public record WriteDecision(Outcome outcome, long version, boolean maybeOverwritten) {
 
-  /** What became of a conditional write. */
+  /** Outcome of a conditional write. */
   public enum Outcome {
-    /** It took effect and is what the object holds. */
+    /** The write took effect and the object holds its value. */
     APPLIED,
-    /** Another change is there: read it, decide anew, write under a new operation id. */
+    /** Another change took effect: read it, decide again and write under a new operation id. */
     CONFLICT,
-    /** Not known: send the same write under the same operation id again. */
+    /** Outcome unknown: send the same write again under the same operation id. */
     RETRY
   }
 
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/package-info.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/package-info.java
@@ -1,2 +1,5 @@
-/** Configuration, one immutable snapshot a version, and the calls that read and change it. */
+/**
+ * Configuration as immutable versioned snapshots, and the rules for the platform calls that read
+ * and change it.
+ */
 package io.sequoiapass.coordination.version;
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/ConfigurationFuzzTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/ConfigurationFuzzTest.java
@@ -25,25 +25,29 @@
 import net.jqwik.api.state.Transformer;
 
 /**
- * A caller gets an answer from an adapter version that the operators replaced minutes ago, because
- * news reached a daemon late, twice, out of order, or from a peer that was cut off meanwhile. Three
- * stores take such news; no version of an object may go down, and repair makes them all equal.
+ * Guards against answers from an adapter version that operators replaced minutes ago, caused by
+ * updates that reach a daemon late, twice, out of order, or from a peer that was disconnected.
+ * Three stores apply such updates; no object version may decrease, and repair makes all stores
+ * equal.
  */
 class ConfigurationFuzzTest {
 
   private static final int STORES = 3;
   private static final int NAMES = 6;
 
-  /** The platform's truth, all it ever said, and the stores that hear some of it. */
-  private static final class World {
-    private final Map<ObjectKey, ConfigurationObject> truth = new TreeMap<>();
+  /**
+   * The platform's current objects, all objects that it ever sent, and the stores that receive some
+   * of them.
+   */
+  private static final class Simulation {
+    private final Map<ObjectKey, ConfigurationObject> platformObjects = new TreeMap<>();
     private final List<ConfigurationObject> history = new ArrayList<>();
     private final List<ConfigurationStore> stores = new ArrayList<>();
     private final List<Map<ObjectKey, Long>> seen = new ArrayList<>();
     private long revision;
     private long now;
 
-    World() {
+    Simulation() {
       for (int i = 0; i < STORES; i++) {
         stores.add(ConfigurationStore.create(ConfigurationStore.TOMBSTONE_MILLIS));
         seen.add(new HashMap<>());
@@ -64,14 +68,14 @@
 
     void delete(int name) {
       ObjectKey key = new ObjectKey(ObjectKind.ADAPTER, "a" + name);
-      if (truth.get(key) instanceof AdapterRecord) {
+      if (platformObjects.get(key) instanceof AdapterRecord) {
         revision++;
         record(new Tombstone(key, revision));
       }
     }
 
     private void record(ConfigurationObject object) {
-      truth.put(object.key(), object);
+      platformObjects.put(object.key(), object);
       history.add(object);
     }
 
@@ -85,7 +89,7 @@
 
     void list(int store) {
       List<ConfigurationObject> present =
-          truth.values().stream().filter(AdapterRecord.class::isInstance).toList();
+          platformObjects.values().stream().filter(AdapterRecord.class::isInstance).toList();
       stores.get(store).applyListing(now, revision, EnumSet.of(ObjectKind.ADAPTER), present);
     }
 
@@ -96,9 +100,9 @@
       target.apply(now, source.deltaFor(buckets, target.versionsIn(buckets)));
     }
 
-    void assertNeverBack() {
+    void assertVersionsNeverDecrease() {
       for (int i = 0; i < STORES; i++) {
-        for (ObjectKey key : truth.keySet()) {
+        for (ObjectKey key : platformObjects.keySet()) {
           long version = stores.get(i).versionOf(key);
           long before = seen.get(i).getOrDefault(key, 0L);
           assertThat(version)
@@ -109,18 +113,18 @@
       }
     }
 
-    void assertConverges() {
+    void assertStoresConverge() {
       list(0);
       for (int round = 0; round < 2; round++) {
         for (int i = 0; i < STORES; i++) {
-          // Both ways, as the exchange goes: only a store that listed can tell the others of a
-          // deletion that reached nobody.
+          // In both directions, as in the real exchange: if a deletion reached no store, only a
+          // store that applied a listing can send it to the others.
           repair(i, (i + 1) % STORES);
           repair((i + 1) % STORES, i);
         }
       }
       for (ConfigurationStore store : stores) {
-        truth.forEach(
+        platformObjects.forEach(
             (key, object) ->
                 assertThat(store.find(key).map(ConfigurationObject::version).orElse(0L))
                     .as("%s", key)
@@ -131,31 +135,35 @@
   }
 
   @Property(tries = 300, seed = "20261202")
-  void noVersionGoesDownAndStoresConverge(@ForAll("news") ActionChain<World> news) {
-    World world = news.withInvariant("never back", World::assertNeverBack).run();
-    world.assertConverges();
-    world.assertNeverBack();
+  void versionsNeverDecreaseAndStoresConverge(@ForAll("updates") ActionChain<Simulation> updates) {
+    Simulation simulation =
+        updates
+            .withInvariant("versions never decrease", Simulation::assertVersionsNeverDecrease)
+            .run();
+    simulation.assertStoresConverge();
+    simulation.assertVersionsNeverDecrease();
   }
 
   @Provide
-  Arbitrary<ActionChain<World>> news() {
-    return ActionChain.startWith(World::new)
-        .withAction(5, step("put", NAMES - 1, World::put))
-        .withAction(2, step("delete", NAMES - 1, World::delete))
-        .withAction(6, step("deliver", 1_000_000, World::deliverSome))
-        .withAction(1, step("list", STORES - 1, World::list))
+  Arbitrary<ActionChain<Simulation>> updates() {
+    return ActionChain.startWith(Simulation::new)
+        .withAction(5, step("put", NAMES - 1, Simulation::put))
+        .withAction(2, step("delete", NAMES - 1, Simulation::delete))
+        .withAction(6, step("deliver", 1_000_000, Simulation::deliverSome))
+        .withAction(1, step("list", STORES - 1, Simulation::list))
         .withAction(
             3, step("repair", STORES * STORES - 1, (w, i) -> w.repair(i / STORES, i % STORES)))
         .withMaxTransformations(60);
   }
 
-  private static Action.Independent<World> step(
-      String name, int max, java.util.function.BiConsumer<World, Integer> change) {
+  private static Action.Independent<Simulation> step(
+      String name, int max, java.util.function.BiConsumer<Simulation, Integer> change) {
     return () ->
         Arbitraries.integers()
             .between(0, max)
             .map(
                 value ->
-                    Transformer.mutate(name + " " + value, world -> change.accept(world, value)));
+                    Transformer.mutate(
+                        name + " " + value, simulation -> change.accept(simulation, value)));
   }
 }
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/ConfigurationStoreTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/ConfigurationStoreTest.java
@@ -18,9 +18,9 @@
 class ConfigurationStoreTest {
 
   private static final ObjectKey NOTES = new ObjectKey(ObjectKind.ADAPTER, "notes");
-  private static final long FORGOTTEN = ConfigurationStore.TOMBSTONE_MILLIS;
+  private static final long RETENTION = ConfigurationStore.TOMBSTONE_MILLIS;
 
-  private final ConfigurationStore store = ConfigurationStore.create(FORGOTTEN);
+  private final ConfigurationStore store = ConfigurationStore.create(RETENTION);
 
   private static AdapterRecord notes(long version) {
     VersionId current = new VersionId("v" + version);
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void aSnapshotStaysAsItWas() {
+  void aSnapshotIsNotModifiedByLaterUpdates() {
     store.apply(0, List.of(notes(1)));
     ConfigurationSnapshot before = store.snapshot();
     store.apply(0, List.of(notes(2)));
@@ -39,40 +39,41 @@
   }
 
   @Test
-  void onlyWhatIsNewerIsPassedOn() {
+  void onlyNewerObjectsAreReturned() {
     assertThat(store.apply(0, List.of(notes(2), notes(1), notes(2)))).containsExactly(notes(2));
     assertThat(store.apply(0, List.of(notes(2)))).isEmpty();
   }
 
   /**
-   * An adapter that was deleted answers again: a daemon that was cut off for hours pushes its copy
-   * after the deletion was forgotten here. The copy is refused, and the platform is asked.
+   * Guards against the return of a deleted adapter: a daemon that was disconnected for hours pushes
+   * its copy after the tombstone was purged here. The copy is rejected, and a listing from the
+   * platform is required.
    */
   @Nested
   class DeletedObjects {
 
     @Test
-    void anOlderCopyIsRefusedAfterTheDeletionIsForgotten() {
+    void anOlderCopyIsRejectedAfterTheTombstoneIsPurged() {
       store.apply(0, List.of(notes(1), new Tombstone(NOTES, 5)));
-      store.tick(FORGOTTEN);
+      store.tick(RETENTION);
       assertThat(store.versionOf(NOTES)).isZero();
-      assertThat(store.apply(FORGOTTEN, List.of(notes(1)))).isEmpty();
+      assertThat(store.apply(RETENTION, List.of(notes(1)))).isEmpty();
       assertThat(store.isListingNeeded()).isTrue();
-      store.applyListing(FORGOTTEN, 9, EnumSet.of(ObjectKind.ADAPTER), List.of(notes(1)));
+      store.applyListing(RETENTION, 9, EnumSet.of(ObjectKind.ADAPTER), List.of(notes(1)));
       assertThat(store.find(NOTES)).contains(notes(1));
       assertThat(store.isListingNeeded()).isFalse();
     }
 
     @Test
-    void forgettingLeavesTheDigestAsItWas() {
+    void purgingTombstonesKeepsTheDigest() {
       store.apply(0, List.of(notes(1), new Tombstone(NOTES, 5)));
       ConfigurationDigest before = store.digest();
-      store.tick(FORGOTTEN);
+      store.tick(RETENTION);
       assertThat(store.digest()).isEqualTo(before);
     }
 
     @Test
-    void aListingDeletesWhatItLacks() {
+    void aListingDeletesMissingObjects() {
       store.apply(0, List.of(notes(3)));
       store.applyListing(0, 2, EnumSet.of(ObjectKind.ADAPTER), List.of());
       assertThat(store.find(NOTES)).as("newer than the listing").isPresent();
@@ -82,8 +83,8 @@
   }
 
   /**
-   * A caller is answered from an older version by a daemon that started during an outage of the
-   * platform and had asked only one peer, which was behind.
+   * Guards against answers from an outdated version: a daemon starts during a platform outage and
+   * has received the state of only one peer, which was behind.
    */
   @Nested
   class ColdStartDuringAnOutage {
@@ -93,7 +94,7 @@
     private final ColdStart start = ColdStart.create(0, 5_000);
 
     @Test
-    void everyPeerThatIsHeardIsAskedFirst() {
+    void aDaemonIsReadyOnlyAfterEveryLivePeerAnswered() {
       start.peerAnswered(near, true);
       assertThat(start.isReady(100, Set.of(near, far))).isFalse();
       start.peerAnswered(far, false);
@@ -101,13 +102,13 @@
     }
 
     @Test
-    void aPeerThatDoesNotAnswerIsWaitedForOnlySoLong() {
+    void theWaitForAPeerThatDoesNotAnswerIsBounded() {
       start.peerAnswered(near, true);
       assertThat(start.isReady(5_000, Set.of(near, far))).isTrue();
     }
 
     @Test
-    void peersThatAreNotReadyMakeNobodyReady() {
+    void answersOfPeersThatAreNotReadyDoNotMakeADaemonReady() {
       start.peerAnswered(near, false);
       start.peerAnswered(far, false);
       assertThat(start.isReady(60_000, Set.of(near, far))).isFalse();
@@ -117,7 +118,7 @@
   }
 
   @Test
-  void findPassesOverDeletedObjects() {
+  void findIgnoresDeletedObjects() {
     store.apply(0, List.of(new Tombstone(NOTES, 5)));
     assertThat(store.find(NOTES)).isEqualTo(Optional.empty());
   }
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/FanOutTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/FanOutTest.java
@@ -27,7 +27,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 4, 7, 16, 33, 100})
-    void reachEachTargetOnceAndLoadNobodyWithMoreThanFour(int count) {
+    void reachEachTargetOnceWithAtMostFourSendsPerDaemon(int count) {
       List<DaemonId> targets = daemons(count);
       List<DaemonId> reached = new ArrayList<>();
       Deque<List<DaemonId>> toSend = new ArrayDeque<>(List.of(targets));
@@ -48,12 +48,12 @@
   class Order {
 
     @Test
-    void silentTargetsComeLast() {
+    void unresponsiveTargetsAreOrderedLast() {
       List<DaemonId> targets = daemons(7);
-      Set<DaemonId> heard = Set.copyOf(targets.subList(2, 7));
-      List<DaemonId> order = FanOut.order(SENDER, targets, heard);
+      Set<DaemonId> live = Set.copyOf(targets.subList(2, 7));
+      List<DaemonId> order = FanOut.order(SENDER, targets, live);
       assertThat(order).containsExactlyInAnyOrderElementsOf(targets);
-      assertThat(heard).containsAll(order.subList(0, 5));
+      assertThat(live).containsAll(order.subList(0, 5));
     }
   }
 }
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/HostListMonitorFuzzTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/HostListMonitorFuzzTest.java
@@ -14,7 +14,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Readings of two readers and deliveries of their hints, in any order and doubled. */
+/**
+ * Readings by two readers, and delivery of their hints in any order and with duplicates; all
+ * daemons must converge.
+ */
 class HostListMonitorFuzzTest {
 
   private static final HostId H1 = new HostId("h1");
@@ -35,7 +38,7 @@
   }
 
   @Property(tries = 500, seed = "4711")
-  void daemonsThatHaveHeardAllHoldTheSame(@ForAll("steps") List<Integer> steps) {
+  void daemonsThatReceivedAllHintsHoldTheSameHints(@ForAll("steps") List<Integer> steps) {
     List<HostListMonitor> readers = List.of(monitor("d1"), monitor("d2"));
     HostListMonitor third = monitor("d3");
     List<HostHints> sent = new ArrayList<>();
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/HostListMonitorTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/HostListMonitorTest.java
@@ -23,7 +23,7 @@
   private static final HostId H2 = new HostId("h2");
   private static final HostId H3 = new HostId("h3");
   private static final Set<HostId> IN_USE = Set.of(H1, H2, H3);
-  private static final long BACK = HostListMonitor.BACK_AFTER_MILLIS;
+  private static final long RECOVERY_DELAY = HostListMonitor.RECOVERY_DELAY_MILLIS;
 
   private static HostReport live(HostId host) {
     return new HostReport(host, HostHint.LIVE, Set.of());
@@ -43,19 +43,21 @@
     private final HostListMonitor monitor = monitor("d1");
 
     @Test
-    void aLeavingHostIsBelievedAtOnceAndALiveOneAfterAWhile() {
+    void aLeavingHostIsReportedImmediatelyAndALiveOneAfterTheRecoveryDelay() {
       monitor.read(0, List.of(live(H1), live(H2)), IN_USE);
       assertThat(monitor.read(10, List.of(leaving(H1), live(H2)), IN_USE)).isPresent();
       assertThat(monitor.hints().of(H1)).isEqualTo(HostHint.LEAVING);
       assertThat(monitor.read(20, List.of(live(H1), live(H2)), IN_USE)).isEmpty();
-      assertThat(monitor.read(20 + BACK - 1, List.of(live(H1), live(H2)), IN_USE)).isEmpty();
-      assertThat(monitor.read(20 + BACK, List.of(live(H1), live(H2)), IN_USE)).isPresent();
+      assertThat(monitor.read(20 + RECOVERY_DELAY - 1, List.of(live(H1), live(H2)), IN_USE))
+          .isEmpty();
+      assertThat(monitor.read(20 + RECOVERY_DELAY, List.of(live(H1), live(H2)), IN_USE))
+          .isPresent();
       assertThat(monitor.hints().of(H1)).isEqualTo(HostHint.LIVE);
     }
 
     @Test
-    void aFlappingListBringsNothingBack() {
-      for (long now = 0; now < 10 * BACK; now += 1_000) {
+    void aFlappingHostStaysLeaving() {
+      for (long now = 0; now < 10 * RECOVERY_DELAY; now += 1_000) {
         boolean odd = now / 1_000 % 2 == 1;
         monitor.read(now, List.of(odd ? live(H1) : leaving(H1), live(H2)), IN_USE);
         assertThat(monitor.hints().of(H1)).isEqualTo(HostHint.LEAVING);
@@ -63,7 +65,7 @@
     }
 
     @Test
-    void aHostThatVanishesIsAbsentAndAnEmptyListIsNotBelieved() {
+    void aMissingHostIsAbsentAndAnEmptyListIsRejected() {
       monitor.read(0, List.of(live(H1), live(H2), live(H3)), IN_USE);
       assertThat(monitor.read(10, List.of(), IN_USE)).isEmpty();
       assertThat(monitor.read(20, List.of(live(H2), live(H3)), IN_USE)).isPresent();
@@ -73,7 +75,7 @@
     }
 
     @Test
-    void aHostOnWhichNothingStandsIsNotReportedGone() {
+    void aHostWithoutEndpointsIsNotReportedAbsent() {
       monitor.read(0, List.of(live(H1), live(H2), live(H3)), IN_USE);
       assertThat(monitor.read(10, List.of(live(H2), live(H3)), Set.of(H2, H3))).isEmpty();
     }
@@ -83,7 +85,7 @@
   class SeveralReaders {
 
     @Test
-    void aReaderWithAnOlderListBringsNothingBackAtOnce() {
+    void aReaderWithAnOlderListDoesNotRestoreAHostImmediately() {
       HostListMonitor ahead = monitor("d1");
       HostListMonitor behind = monitor("d2");
       behind.received(ahead.read(0, List.of(leaving(H1)), IN_USE).orElseThrow());
@@ -92,7 +94,7 @@
     }
 
     @Test
-    void aStalePeersHintsAreRefused() {
+    void aStalePeersHintsAreIgnored() {
       HostListMonitor monitor = monitor("d1");
       HostHints old = monitor.read(0, List.of(leaving(H1)), IN_USE).orElseThrow();
       HostHints recent = monitor.read(1, List.of(leaving(H1), leaving(H2)), IN_USE).orElseThrow();
@@ -125,19 +127,20 @@
     }
 
     @Test
-    void hintsDrainAndNeverRevive() {
+    void hintsDrainEndpointsAndNeverReactivateThem() {
       store.apply(
           0,
           List.of(
               endpoint("e1", H1, EndpointState.ACTIVE), endpoint("e2", H2, EndpointState.LEAVING)));
       HostHints hints = HostHints.of(1, new DaemonId("d1"), List.of(leaving(H1)));
-      ConfigurationSnapshot seen = hinted.apply(store.snapshot(), hints);
-      assertThat(seen.endpoints()).noneMatch(EndpointRecord::takesNewWork);
-      assertThat(seen.endpoint(new EndpointId("e1")).orElseThrow().takesNewWork()).isFalse();
-      assertThat(hinted.apply(store.snapshot(), hints).endpoints()).isSameAs(seen.endpoints());
-      ConfigurationSnapshot back = hinted.apply(store.snapshot(), HostHints.NONE);
-      assertThat(back.endpoint(new EndpointId("e1")).orElseThrow().takesNewWork()).isTrue();
-      assertThat(back.endpoint(new EndpointId("e2")).orElseThrow().takesNewWork()).isFalse();
+      ConfigurationSnapshot withHints = hinted.apply(store.snapshot(), hints);
+      assertThat(withHints.endpoints()).noneMatch(EndpointRecord::takesNewWork);
+      assertThat(withHints.endpoint(new EndpointId("e1")).orElseThrow().takesNewWork()).isFalse();
+      assertThat(hinted.apply(store.snapshot(), hints).endpoints()).isSameAs(withHints.endpoints());
+      ConfigurationSnapshot withoutHints = hinted.apply(store.snapshot(), HostHints.NONE);
+      assertThat(withoutHints.endpoint(new EndpointId("e1")).orElseThrow().takesNewWork()).isTrue();
+      assertThat(withoutHints.endpoint(new EndpointId("e2")).orElseThrow().takesNewWork())
+          .isFalse();
     }
 
     @Test
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/PlatformCallsTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/PlatformCallsTest.java
@@ -17,8 +17,8 @@
 class PlatformCallsTest {
 
   /**
-   * An operator's change is refused as a conflict although it took effect: the answer was lost, and
-   * the retry finds the object at the version that the first try made.
+   * Guards against reporting an operator's change as a conflict although it took effect: the answer
+   * was lost, and the retry finds the object at the version that the first attempt wrote.
    */
   @Nested
   class ConditionalWrites {
@@ -28,7 +28,7 @@
     private final ConditionalWrite write = ConditionalWrite.create(own, 4);
 
     @Test
-    void aRetryRecognisesItsOwnChange() {
+    void aRetryDetectsItsOwnChange() {
       assertThat(write.answered(new WriteAnswer.Lost()).outcome()).isEqualTo(Outcome.RETRY);
       assertThat(write.answered(new WriteAnswer.Conflict(9, Optional.of(own))))
           .isEqualTo(new WriteDecision(Outcome.APPLIED, 9, false));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aThrottledTryHasNotTakenEffect() {
+    void aThrottledAttemptHasNotTakenEffect() {
       write.answered(new WriteAnswer.Throttled(1_000));
       assertThat(write.answered(new WriteAnswer.Conflict(9, Optional.of(other))))
           .isEqualTo(new WriteDecision(Outcome.CONFLICT, 9, false));
@@ -50,12 +50,12 @@
   }
 
   @Nested
-  class Budgets {
+  class CallBudgets {
 
     private final CallBudget budget = CallBudget.create(2, 10, 0);
 
     @Test
-    void leasesAreRenewedWhenOthersHaveSpentTheirShare() {
+    void leaseCallsAreAllowedAfterOtherCallsUsedTheirShare() {
       int hints = 0;
       while (budget.tryAcquire(0, CallKind.HINT)) {
         hints++;
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void callsComeBackAtTheRate() {
+    void tokensRefillAtTheConfiguredRate() {
       for (int call = 0; call < 10; call++) {
         assertThat(budget.tryAcquire(0, CallKind.LEASE)).isTrue();
       }
@@ -75,14 +75,17 @@
     }
 
     @Test
-    void aThrottledDaemonCallsNobody() {
+    void noCallIsAllowedWhileThrottled() {
       budget.throttled(0, 3_000);
       assertThat(budget.tryAcquire(2_999, CallKind.LEASE)).isFalse();
       assertThat(budget.tryAcquire(3_000, CallKind.LEASE)).isTrue();
     }
   }
 
-  /** The platform comes back and 400 daemons call at one moment, so that it goes down again. */
+  /**
+   * Guards against a second outage: the platform recovers, 400 daemons call it simultaneously and
+   * overload it.
+   */
   @Test
   void retriesOfManyDaemonsSpreadOverTheBound() {
     int[] perSecond = new int[10];
@@ -100,7 +103,7 @@
   }
 
   @Test
-  void twoOrThreeDaemonsWatchAndALeaverReplacesOnlyItself() {
+  void aLeavingWatcherIsReplacedAndTheOtherWatcherStays() {
     WatcherElection election = WatcherElection.create(new DataCentreId("surco"), 2);
     List<DaemonId> daemons = new ArrayList<>();
     for (int i = 0; i < 17; i++) {
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/PresetScheduleTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/PresetScheduleTest.java
@@ -15,69 +15,72 @@
   private final PresetSchedule schedule = PresetSchedule.empty();
 
   @Test
-  void everyDaemonSwitchesAtTheMomentTheChangeNames() {
-    schedule.learned(ORDINARY);
+  void aChangeTakesEffectAtItsEffectiveTime() {
+    schedule.add(ORDINARY);
     assertThat(schedule.inForce(500)).contains(Preset.ORDINARY);
-    schedule.learned(PEAK);
+    schedule.add(PEAK);
     assertThat(schedule.inForce(999)).contains(Preset.ORDINARY);
     assertThat(schedule.inForce(1_000)).contains(Preset.PEAK);
   }
 
   @Test
-  void aChangeReplacedBeforeItsMomentNeverComesIntoForce() {
-    schedule.learned(ORDINARY);
+  void aChangeReplacedBeforeItsEffectiveTimeNeverTakesEffect() {
+    schedule.add(ORDINARY);
     schedule.inForce(0);
-    schedule.learned(PEAK);
-    schedule.learned(MAINTENANCE);
+    schedule.add(PEAK);
+    schedule.add(MAINTENANCE);
     assertThat(schedule.inForce(1_500)).contains(Preset.ORDINARY);
     assertThat(schedule.inForce(2_000)).contains(Preset.MAINTENANCE);
   }
 
   @Test
-  void anOlderChangeFromAStalePeerIsRefused() {
-    schedule.learned(PEAK);
-    assertThat(schedule.learned(ORDINARY)).isFalse();
+  void anOlderChangeFromAStalePeerIsIgnored() {
+    schedule.add(PEAK);
+    assertThat(schedule.add(ORDINARY)).isFalse();
     assertThat(schedule.inForce(1_000)).contains(Preset.PEAK);
   }
 
   @Test
-  void aWallClockThatStepsBackSwitchesNothing() {
-    schedule.learned(ORDINARY);
+  void aWallClockThatStepsBackDoesNotUndoASwitch() {
+    schedule.add(ORDINARY);
     schedule.inForce(0);
-    schedule.learned(PEAK);
+    schedule.add(PEAK);
     schedule.inForce(1_000);
     assertThat(schedule.inForce(500)).contains(Preset.PEAK);
   }
 
-  /** Operators change the preset while a data centre is cut off: its daemons keep their last. */
+  /**
+   * Operators change the preset while a data centre is disconnected; its daemons keep their last
+   * preset.
+   */
   @Nested
-  class CutOff {
+  class Disconnected {
 
     @Test
     void aDaemonKeepsItsLastPreset() {
-      schedule.learned(ORDINARY);
+      schedule.add(ORDINARY);
       assertThat(schedule.inForce(86_400_000)).contains(Preset.ORDINARY);
     }
 
     @Test
-    void aChangeKnownBeforeTheCutComesIntoForceAtItsMoment() {
-      schedule.learned(ORDINARY);
+    void aChangeReceivedBeforeDisconnectionTakesEffectAtItsTime() {
+      schedule.add(ORDINARY);
       schedule.inForce(0);
-      schedule.learned(PEAK);
+      schedule.add(PEAK);
       assertThat(schedule.inForce(1_200)).contains(Preset.PEAK);
     }
 
     @Test
-    void aChangeLearnedAfterItsMomentComesIntoForceAtOnce() {
-      schedule.learned(ORDINARY);
+    void aChangeReceivedAfterItsEffectiveTimeTakesEffectImmediately() {
+      schedule.add(ORDINARY);
       schedule.inForce(5_000);
-      schedule.learned(PEAK);
+      schedule.add(PEAK);
       assertThat(schedule.inForce(5_000)).contains(Preset.PEAK);
     }
 
     @Test
-    void aFreshDaemonThatKnowsOnlyAComingChangeHasNone() {
-      schedule.learned(PEAK);
+    void aStartingDaemonWithOnlyAPendingChangeHasNoPreset() {
+      schedule.add(PEAK);
       assertThat(schedule.inForce(999)).isEmpty();
     }
   }
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/RepairScheduleTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/RepairScheduleTest.java
@@ -14,33 +14,34 @@
   private final RepairSchedule schedule = RepairSchedule.create();
 
   @Nested
-  class Settling {
+  class StableDigest {
 
     @Test
     void aPushThatArrivesInTimeNeedsNoRepair() {
-      schedule.heard(0, PEER, 2, 1);
+      schedule.digestReceived(0, PEER, 2, 1);
       assertThat(schedule.due(50, 1)).isEmpty();
       assertThat(schedule.due(150, 2)).isEmpty();
-      schedule.heard(500, PEER, 2, 2);
+      schedule.digestReceived(500, PEER, 2, 2);
       assertThat(schedule.due(5_000, 2)).isEmpty();
     }
 
     @Test
-    void aPushThatIsLostIsAskedForOnce() {
-      schedule.heard(0, PEER, 2, 1);
+    void aLostPushIsRequestedOnce() {
+      schedule.digestReceived(0, PEER, 2, 1);
       assertThat(schedule.due(100, 1)).contains(PEER);
       assertThat(schedule.due(400, 1)).isEmpty();
     }
   }
 
   @Nested
-  class SteadyChanges {
+  class ContinuousChanges {
 
-    // Changes come ten times a second, so the own digest never stands still, and one push was lost.
+    // Changes arrive ten times per second, so the own digest is never stable, and one push was
+    // lost.
     @Test
-    void aLostPushShowsOnLaterHeartbeats() {
+    void aLostPushIsDetectedFromLaterHeartbeats() {
       for (long now = 0; now <= 500; now += 500) {
-        schedule.heard(now, PEER, 1_000 + now, now);
+        schedule.digestReceived(now, PEER, 1_000 + now, now);
         assertThat(schedule.due(now + 100, now + 100)).isEmpty();
       }
       assertThat(schedule.due(800, 800)).contains(PEER);
@@ -48,9 +49,9 @@
   }
 
   @Test
-  void anAnswerIsWaitedForBeforeTheNextPeerIsAsked() {
-    schedule.heard(0, PEER, 2, 1);
-    schedule.heard(0, OTHER, 2, 1);
+  void requestsToDifferentPeersAreSpacedByTheInterval() {
+    schedule.digestReceived(0, PEER, 2, 1);
+    schedule.digestReceived(0, OTHER, 2, 1);
     assertThat(schedule.due(100, 1)).contains(PEER);
     assertThat(schedule.due(150, 1)).isEmpty();
     assertThat(schedule.due(300, 1)).contains(OTHER);
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationListener.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationListener.java
@@ -6,42 +6,45 @@
 import io.sequoiapass.coordination.version.Preset;
 import java.util.List;
 
-/** Hears of changes of the configuration; called under the node's lock, must not block. */
+/**
+ * Receives changes of the configuration. Called under the lock of the {@link ConfigurationNode};
+ * must not block.
+ */
 public interface ConfigurationListener {
 
   /**
-   * Called when objects came into force.
+   * Called when newer objects have been applied.
    *
-   * @param snapshot the configuration with them
+   * @param snapshot the configuration that includes them
    * @param newer the objects
    */
   void applied(ConfigurationSnapshot snapshot, List<ConfigurationObject> newer);
 
   /**
-   * Called when a preset came into force.
+   * Called when a preset has come into force.
    *
    * @param preset the preset
    */
   void presetInForce(Preset preset);
 
   /**
-   * Called when the hosts that are leaving or gone changed.
+   * Called when the set of leaving or absent hosts has changed.
    *
-   * @param hints the hosts
+   * @param hints the leaving or absent hosts
    */
   void hostsChanged(HostHints hints);
 
   /**
-   * Called when an object could not be read and is passed over.
+   * Called when an object cannot be parsed and is ignored.
    *
-   * @param problem what is wrong with it
+   * @param problem a description of the problem
    */
   void objectRefused(String problem);
 
   /**
-   * Called when a call to the platform failed.
+   * Called when a call to the platform has failed.
    *
-   * @param failure what happened
+   * @param failure the cause
    */
   void platformFailed(Throwable failure);
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationNode.java
@@ -35,22 +35,22 @@
 import java.util.stream.Collectors;
 
 /**
- * Holds this daemon's configuration and keeps it fresh: from the platform if it is one of its data
- * centre's watchers, from its peers otherwise.
+ * Holds this daemon's configuration and keeps it up to date: from the platform if this daemon is
+ * one of its data centre's watchers, from its peers otherwise.
  *
- * <p>Safe for use by several threads: the store changes under one lock, snapshots are immutable.
+ * <p>Safe for use by several threads: one lock guards the store, and snapshots are immutable.
  */
 public final class ConfigurationNode {
 
   private static final int WATCHERS = 2;
 
-  /** How long a fresh daemon waits for peers that are heard but do not answer. */
+  /** Maximum time for which a starting daemon waits for live peers that do not answer. */
   private static final long PEER_WAIT_MS = 3_000;
 
-  /** Bounds of the pause after a failed call, of which a random part is waited. */
+  /** Bound of the first delay after a failed call; the delay is a random part of the bound. */
   private static final long MIN_BACKOFF_MS = 500;
 
-  /** Half of the 4 s within which a change that follows an outage is in force everywhere. */
+  /** Half of the 4 s within which a change made after an outage must be in force everywhere. */
   private static final long MAX_BACKOFF_MS = 2_000;
 
   private final ReentrantLock lock = new ReentrantLock();
@@ -58,7 +58,7 @@
   private final MillisClock wall;
   private final DaemonId self;
   private final DataCentreId dataCentre;
-  private final PlatformReach reach;
+  private final PlatformReachability reachability;
   private final PlatformFeed feed;
   private final HostListFeed hostFeed;
   private final ConfigurationPeers peers;
@@ -70,25 +70,25 @@
   private final HintedSnapshots hinted = new HintedSnapshots();
   private final PresetInForce presets = new PresetInForce();
   private final ColdStart coldStart;
-  private final Set<DaemonId> withoutPlatform = new HashSet<>();
+  private final Set<DaemonId> disconnectedPeers = new HashSet<>();
   private final ConfigurationRepair repair;
 
   private volatile ConfigurationSnapshot snapshot;
   private volatile long root;
   private volatile boolean ready;
-  private Collection<DaemonId> heard = List.of();
-  private boolean listedOnce;
+  private Collection<DaemonId> alivePeers = List.of();
+  private boolean hasListed;
 
   /**
-   * Makes a node that knows nothing yet.
+   * Creates a node without configuration.
    *
-   * @param clock the clock of all times
-   * @param wall the wall clock, for the moment at which a preset comes into force
+   * @param clock the clock for all intervals and timeouts
+   * @param wall the wall clock, for the times at which presets come into force
    * @param self this daemon
    * @param dataCentre its data centre
    * @param platform the platform
-   * @param peers the other daemons
-   * @param listener hears of changes
+   * @param peers sends messages to the other daemons
+   * @param listener notified of changes
    */
   public ConfigurationNode(
       MillisClock clock,
@@ -107,16 +107,18 @@
     this.election = WatcherElection.create(dataCentre, WATCHERS);
     this.repair = new ConfigurationRepair(self);
     this.hosts = HostListMonitor.create(self);
-    this.reach = new PlatformReach(clock);
-    this.feed = new PlatformFeed(clock, platform, backoff("watch"), reach, new FromPlatform());
+    this.reachability = new PlatformReachability(clock);
+    this.feed =
+        new PlatformFeed(clock, platform, backoff("watch"), reachability, new PlatformSink());
     this.hostFeed =
-        new HostListFeed(clock, dataCentre, platform, backoff("hosts"), reach, this::hostsRead);
+        new HostListFeed(
+            clock, dataCentre, platform, backoff("hosts"), reachability, this::hostsRead);
     this.coldStart = ColdStart.create(clock.millis(), PEER_WAIT_MS);
     this.snapshot = store.snapshot();
     this.root = store.digest().root();
   }
 
-  // Seeded by the name, so that the daemons of a fleet draw different pauses.
+  // The seed contains the daemon's name, so that the daemons of a fleet draw different delays.
   private Backoff backoff(String call) {
     return Backoff.create(
         MIN_BACKOFF_MS,
@@ -124,27 +126,27 @@
         new SplittableRandom((call + self).hashCode() + wall.millis()));
   }
 
-  /** Returns the configuration as it stands, with what the host list takes out of service. */
+  /** Returns the current configuration, with the hints of the host list applied. */
   public ConfigurationSnapshot snapshot() {
     return snapshot;
   }
 
-  /** Returns the sum of what is held, for heartbeats. */
+  /** Returns the root digest of the configuration held, for heartbeats. */
   public long root() {
     return root;
   }
 
-  /** Returns whether this daemon's own calls to the platform go unanswered. */
+  /** Returns whether this daemon's own calls to the platform are unanswered. */
   public boolean isCutOff() {
-    return reach.isCutOff();
+    return reachability.isCutOff();
   }
 
-  /** Returns whether enough is known to serve. */
+  /** Returns whether enough configuration is present to serve requests. */
   public boolean ready() {
     return ready;
   }
 
-  /** Returns the preset in force; ordinary until one is known. */
+  /** Returns the preset in force; ORDINARY if there is none. */
   public Preset preset() {
     lock.lock();
     try {
@@ -154,7 +156,7 @@
     }
   }
 
-  /** Returns the hosts that the platform's list shows as leaving or gone. */
+  /** Returns the hosts that the platform's list shows as leaving or absent. */
   public HostHints hints() {
     lock.lock();
     try {
@@ -165,9 +167,9 @@
   }
 
   /**
-   * Lets time pass.
+   * Processes everything that is due: repair requests, preset changes and calls to the platform.
    *
-   * @param alive the peers of the data centre that are heard from
+   * @param alive the live peers of the data centre
    */
   public void tick(Collection<DaemonId> alive) {
     boolean list;
@@ -176,12 +178,12 @@
     try {
       long now = clock.millis();
       store.tick(now);
-      heard = List.copyOf(alive);
-      repair.due(now, root, ready).ifPresent(this::ask);
+      alivePeers = List.copyOf(alive);
+      repair.due(now, root, ready).ifPresent(this::requestObjects);
       ready |= coldStart.isReady(now, alive) && presets.isKnown(wall.millis());
       presets.announce(wall.millis(), listener);
       list = store.isListingNeeded() || repair.isListingDue(now);
-      watch = watches(alive);
+      watch = isWatcher(alive);
     } finally {
       lock.unlock();
     }
@@ -189,47 +191,49 @@
     hostFeed.tick(watch);
   }
 
-  // A watcher that is cut off from the platform alone leaves its data centre with one watcher less,
-  // or none: its peers hear it and count on it. So nobody counts on a daemon that says it is cut
-  // off; it tries again now and then, since contact shows by that alone. In an outage all are cut
-  // off, and the first go on trying.
-  private boolean watches(Collection<DaemonId> alive) {
+  // A watcher that loses only its connection to the platform still appears live to its peers, so
+  // its data centre would have one watcher less, or none. Daemons that report being disconnected
+  // are therefore excluded from the election; they probe the platform periodically to detect
+  // recovery. In an outage all are disconnected, so the election includes all and its watchers keep
+  // retrying.
+  private boolean isWatcher(Collection<DaemonId> alive) {
     List<DaemonId> members = new ArrayList<>(alive);
     members.add(self);
-    List<DaemonId> able = new ArrayList<>(members);
-    able.removeAll(withoutPlatform);
-    if (reach.isCutOff()) {
-      able.remove(self);
+    List<DaemonId> reachable = new ArrayList<>(members);
+    reachable.removeAll(disconnectedPeers);
+    if (reachability.isCutOff()) {
+      reachable.remove(self);
     }
-    return election.watchers(able.isEmpty() ? members : able).contains(self);
+    return election.watchers(reachable.isEmpty() ? members : reachable).contains(self);
   }
 
   // The platform.
 
-  /** Takes what the platform answers. */
-  private final class FromPlatform implements PlatformFeed.Sink {
+  /** Applies the answers of the platform. */
+  private final class PlatformSink implements PlatformFeed.Sink {
 
     @Override
     public void listed(long revision, Set<ObjectKind> kinds, List<ConfigurationObject> objects) {
-      locked(
+      runLocked(
           () -> {
             List<ConfigurationObject> newer =
                 store.applyListing(clock.millis(), revision, kinds, objects);
             coldStart.platformListed();
             repair.listed();
-            if (listedOnce) {
-              applied(newer);
+            if (hasListed) {
+              publishAndForward(newer);
             } else if (!newer.isEmpty()) {
-              // Everything is new to a fresh daemon, and nearly nothing of it to its peers.
-              take(newer);
+              // The first listing is not forwarded: all of it is new to this daemon, but almost
+              // none of it to its peers.
+              publish(newer);
             }
-            listedOnce = true;
+            hasListed = true;
           });
     }
 
     @Override
     public void changed(List<ConfigurationObject> objects) {
-      locked(() -> applied(store.apply(clock.millis(), objects)));
+      runLocked(() -> publishAndForward(store.apply(clock.millis(), objects)));
     }
 
     @Override
@@ -244,7 +248,7 @@
   }
 
   private void hostsRead(List<HostReport> listed) {
-    locked(
+    runLocked(
         () ->
             hosts
                 .read(clock.millis(), listed, hostsInUse())
@@ -266,22 +270,22 @@
     listener.hostsChanged(hints);
   }
 
-  private void applied(List<ConfigurationObject> newer) {
+  private void publishAndForward(List<ConfigurationObject> newer) {
     if (newer.isEmpty()) {
       return;
     }
-    take(newer);
-    passOn(push(newer, false), FanOut.order(self, peers.neighbours(), heard));
+    publish(newer);
+    forward(push(newer, false), FanOut.order(self, peers.neighbours(), alivePeers));
   }
 
-  private void passOn(PeerMessage.ObjectsPush push, List<DaemonId> order) {
+  private void forward(PeerMessage.ObjectsPush push, List<DaemonId> order) {
     for (FanOut.Branch branch : FanOut.branches(order)) {
       peers.send(branch.child(), push.passedOnTo(branch.rest()));
     }
   }
 
-  private void take(List<ConfigurationObject> newer) {
-    presets.learned(newer);
+  private void publish(List<ConfigurationObject> newer) {
+    presets.add(newer);
     refresh();
     listener.applied(snapshot, newer);
     presets.announce(wall.millis(), listener);
@@ -295,15 +299,15 @@
   // Peers.
 
   /**
-   * Takes objects that a peer pushed.
+   * Applies and forwards objects pushed by a peer.
    *
    * @param peer the peer
    * @param push the objects
    */
   public void pushed(DaemonId peer, PeerMessage.ObjectsPush push) {
-    // Also if nothing in it is new here: the other watcher's copy may have come first, and that one
-    // was passed on to others.
-    passOn(push, push.passOnTo());
+    // Forwarded even if nothing in it is new here: the other watcher's copy may have arrived first,
+    // and that copy was forwarded to different peers.
+    forward(push, push.passOnTo());
     List<ConfigurationObject> objects = new ArrayList<>();
     for (String text : push.objects()) {
       try {
@@ -316,7 +320,7 @@
     try {
       List<ConfigurationObject> newer = store.apply(clock.millis(), objects);
       if (!newer.isEmpty()) {
-        take(newer);
+        publish(newer);
       }
       if (push.complete()) {
         coldStart.peerAnswered(peer, push.ready());
@@ -327,12 +331,12 @@
   }
 
   /**
-   * Takes what a peer made of the platform's host list.
+   * Applies the host hints pushed by a peer.
    *
-   * @param push the hosts that are leaving or gone
+   * @param push the hosts that are leaving or absent
    */
   public void hostsPushed(PeerMessage.HostsPush push) {
-    locked(
+    runLocked(
         () -> {
           if (hosts.received(push.hints())) {
             hostsChanged(push.hints());
@@ -341,10 +345,10 @@
   }
 
   /**
-   * Answers a peer that asks in what it differs.
+   * Answers a peer's request for the objects in which it differs.
    *
    * @param peer the peer
-   * @param request its digest
+   * @param request the request with the peer's digest
    */
   public void asked(DaemonId peer, PeerMessage.ObjectsRequest request) {
     PeerMessage.ObjectsPush answer;
@@ -367,27 +371,27 @@
   }
 
   /**
-   * Compares a peer's digest, as its heartbeat carries it, and asks for what differs.
+   * Processes the digest in a peer's heartbeat, and requests the differing objects if required.
    *
    * @param peer the peer
-   * @param theirRoot the sum of what it holds
-   * @param cutOff whether its own calls to the platform go unanswered
+   * @param peerRoot the root of the peer's digest
+   * @param cutOff whether the peer's own calls to the platform are unanswered
    */
-  public void heard(DaemonId peer, long theirRoot, boolean cutOff) {
-    locked(
+  public void heard(DaemonId peer, long peerRoot, boolean cutOff) {
+    runLocked(
         () -> {
           if (cutOff) {
-            withoutPlatform.add(peer);
+            disconnectedPeers.add(peer);
           } else {
-            withoutPlatform.remove(peer);
+            disconnectedPeers.remove(peer);
           }
-          if (repair.heard(clock.millis(), peer, theirRoot, root, ready)) {
-            ask(peer);
+          if (repair.digestReceived(clock.millis(), peer, peerRoot, root, ready)) {
+            requestObjects(peer);
           }
         });
   }
 
-  private void ask(DaemonId peer) {
+  private void requestObjects(DaemonId peer) {
     peers.send(peer, new PeerMessage.ObjectsRequest(store.digest().buckets()));
   }
 
@@ -396,7 +400,7 @@
         objects.stream().map(ObjectCodec::text).toList(), complete, ready, List.of());
   }
 
-  private void locked(Runnable action) {
+  private void runLocked(Runnable action) {
     lock.lock();
     try {
       action.run();
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationPeers.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationPeers.java
@@ -4,10 +4,10 @@
 import io.sequoiapass.daemon.connection.peer.PeerMessage;
 import java.util.List;
 
-/** Sends messages to the other daemons of the data centre; safe for use by several threads. */
+/** Sends messages to the other daemons of the data centre. Safe for use by several threads. */
 public interface ConfigurationPeers {
 
-  /** Returns the other daemons of the data centre, as the settings name them. */
+  /** Returns the other daemons of the data centre, as listed in the settings. */
   List<DaemonId> neighbours();
 
   /**
@@ -18,7 +18,7 @@
   void broadcast(PeerMessage message);
 
   /**
-   * Sends a message to one daemon, if it is connected.
+   * Sends a message to one daemon; drops it if the daemon is not connected.
    *
    * @param peer the daemon
    * @param message the message
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationRepair.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationRepair.java
@@ -8,77 +8,81 @@
 import java.util.Optional;
 
 /**
- * Tells which peer is asked for what differs, and when only the platform can tell.
+ * Selects the peer to request differing objects from, and decides when only a listing from the
+ * platform can resolve a difference.
  *
- * <p>Not thread-safe; the node drives it under its lock.
+ * <p>Not thread-safe; guarded by the lock of the {@link ConfigurationNode}.
  */
 final class ConfigurationRepair {
 
-  /** Between two questions of a fresh daemon to one peer. */
-  private static final long START_ASK_EVERY_MS = 1_000;
+  /** Interval between two requests of a starting daemon to the same peer. */
+  private static final long STARTUP_REQUEST_INTERVAL_MS = 1_000;
 
-  /** A difference that a listing did not mend is a fault; asking more often would not mend it. */
-  private static final long LIST_AGAIN_EVERY_MS = 30_000;
+  /**
+   * A difference that remains after a listing is a fault, which more frequent listings would not
+   * resolve.
+   */
+  private static final long RELIST_INTERVAL_MS = 30_000;
 
-  /** All daemons that differ from one list; spread so that they don't in the same moment. */
-  private static final int LIST_SPREAD_MS = 2_000;
+  /** All daemons that differ from the same daemon request a listing; jitter spreads their calls. */
+  private static final int RELIST_JITTER_MS = 2_000;
 
   private final DaemonId self;
   private final RepairSchedule schedule = RepairSchedule.create();
-  private final Map<DaemonId, Long> theirRoots = new HashMap<>();
-  private final Map<DaemonId, Long> askedToStartAt = new HashMap<>();
+  private final Map<DaemonId, Long> peerRoots = new HashMap<>();
+  private final Map<DaemonId, Long> startupRequestedAt = new HashMap<>();
   private final Map<DaemonId, Difference> differences = new HashMap<>();
-  private long listAgainAt = Long.MAX_VALUE;
-  private long listedAgainAt = Long.MIN_VALUE / 2;
+  private long relistAt = Long.MAX_VALUE;
+  private long relistScheduledAt = Long.MIN_VALUE / 2;
 
   ConfigurationRepair(DaemonId self) {
     this.self = Objects.requireNonNull(self, "self");
   }
 
   /**
-   * Takes in a peer's digest; returns whether it is to be asked at once: a fresh daemon is ready
-   * only once every peer has answered, also those whose digest is the same.
+   * Processes a peer's digest. Returns whether to send it a request immediately: a starting daemon
+   * is ready only once every peer has answered, including those with an identical digest.
    */
-  boolean heard(long now, DaemonId peer, long theirRoot, long ownRoot, boolean ready) {
-    theirRoots.put(peer, theirRoot);
-    schedule.heard(now, peer, theirRoot, ownRoot);
-    long askedAt = askedToStartAt.getOrDefault(peer, now - START_ASK_EVERY_MS);
-    if (ready || now - askedAt < START_ASK_EVERY_MS) {
+  boolean digestReceived(long now, DaemonId peer, long peerRoot, long ownRoot, boolean ready) {
+    peerRoots.put(peer, peerRoot);
+    schedule.digestReceived(now, peer, peerRoot, ownRoot);
+    long requestedAt = startupRequestedAt.getOrDefault(peer, now - STARTUP_REQUEST_INTERVAL_MS);
+    if (ready || now - requestedAt < STARTUP_REQUEST_INTERVAL_MS) {
       return false;
     }
-    askedToStartAt.put(peer, now);
+    startupRequestedAt.put(peer, now);
     return true;
   }
 
-  /** Returns the peer to ask now, if there is one. */
+  /** Returns the peer to send a request to, if one is due. */
   Optional<DaemonId> due(long now, long ownRoot, boolean ready) {
     Optional<DaemonId> due = schedule.due(now, ownRoot);
-    due.ifPresent(peer -> noteDifference(now, peer, ownRoot, ready));
+    due.ifPresent(peer -> recordDifference(now, peer, ownRoot, ready));
     return due;
   }
 
-  // While changes are on their way two digests differ for a moment. Two that stand still and still
-  // differ after a repair cannot be mended between the peers: one of them holds what the other
-  // knows to have ended. The platform's listing tells which.
-  private void noteDifference(long now, DaemonId peer, long ownRoot, boolean ready) {
-    Difference difference = new Difference(theirRoots.getOrDefault(peer, ownRoot), ownRoot);
-    boolean stands = difference.equals(differences.put(peer, difference));
-    if (stands && ready && now - listedAgainAt >= LIST_AGAIN_EVERY_MS) {
-      listedAgainAt = now;
-      listAgainAt = now + Math.floorMod(self.hashCode(), LIST_SPREAD_MS);
+  // Digests differ briefly while changes propagate. If both are unchanged and still differ after a
+  // repair, the peers cannot resolve the difference: one holds an object that the other has
+  // recorded as deleted. A listing from the platform decides which is right.
+  private void recordDifference(long now, DaemonId peer, long ownRoot, boolean ready) {
+    Difference difference = new Difference(peerRoots.getOrDefault(peer, ownRoot), ownRoot);
+    boolean persists = difference.equals(differences.put(peer, difference));
+    if (persists && ready && now - relistScheduledAt >= RELIST_INTERVAL_MS) {
+      relistScheduledAt = now;
+      relistAt = now + Math.floorMod(self.hashCode(), RELIST_JITTER_MS);
     }
   }
 
-  /** Returns whether a difference stood that a listing has to mend. */
+  /** Returns whether a persistent difference requires a listing. */
   boolean isListingDue(long now) {
-    return now >= listAgainAt;
+    return now >= relistAt;
   }
 
-  /** Takes in that the platform was listed. */
+  /** Records that the platform was listed. */
   void listed() {
-    listAgainAt = Long.MAX_VALUE;
+    relistAt = Long.MAX_VALUE;
   }
 
-  /** Two digests at one moment. */
-  private record Difference(long theirs, long own) {}
+  /** The digest roots of both peers at the time of a repair. */
+  private record Difference(long peer, long own) {}
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/HostListFeed.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/HostListFeed.java
@@ -13,21 +13,24 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the platform's host list once a second while this daemon is one of those that watch.
+ * Reads the platform's host list once per second while this daemon is a watcher.
  *
- * <p>Safe for use by several threads: its state has its own lock, which is never held while the
- * reading is handed on.
+ * <p>Safe for use by several threads: a lock guards its state and is never held while the consumer
+ * is called.
  */
 final class HostListFeed {
 
-  /** Two watchers a data centre make 46 reads a second at 23 data centres, of 2,000. */
-  private static final long READ_EVERY_MS = 1_000;
+  /**
+   * Two watchers per data centre make 46 reads per second at 23 data centres, out of the platform's
+   * 2,000.
+   */
+  private static final long READ_INTERVAL_MS = 1_000;
 
   private final MillisClock clock;
   private final DataCentreId dataCentre;
   private final PlatformClient platform;
   private final Backoff backoff;
-  private final PlatformReach reach;
+  private final PlatformReachability reachability;
   private final Consumer<List<HostReport>> readings;
   private List<HostReport> last = List.of();
   private String tag = "";
@@ -39,46 +42,46 @@
       DataCentreId dataCentre,
       PlatformClient platform,
       Backoff backoff,
-      PlatformReach reach,
+      PlatformReachability reachability,
       Consumer<List<HostReport>> readings) {
     this.clock = Objects.requireNonNull(clock, "clock");
     this.dataCentre = Objects.requireNonNull(dataCentre, "dataCentre");
     this.platform = Objects.requireNonNull(platform, "platform");
     this.backoff = Objects.requireNonNull(backoff, "backoff");
-    this.reach = Objects.requireNonNull(reach, "reach");
+    this.reachability = Objects.requireNonNull(reachability, "reach");
     this.readings = Objects.requireNonNull(readings, "readings");
   }
 
   /**
-   * Lets time pass.
+   * Starts a read of the list if one is due.
    *
-   * @param watch whether this daemon is one of those that watch
+   * @param watch whether this daemon is a watcher
    */
   void tick(boolean watch) {
-    String known;
+    String knownTag;
     synchronized (this) {
       long now = clock.millis();
       if (!watch || reading || now < nextReadAt) {
         return;
       }
       reading = true;
-      nextReadAt = now + READ_EVERY_MS;
-      known = tag;
+      nextReadAt = now + READ_INTERVAL_MS;
+      knownTag = tag;
     }
-    platform.hosts(dataCentre, known).whenComplete(this::answered);
+    platform.hosts(dataCentre, knownTag).whenComplete(this::answered);
   }
 
   private void answered(Optional<HostList> answer, Throwable failure) {
-    Optional<List<HostReport>> reading = take(answer, failure);
-    // An unchanged list counts as a reading too: a host that is back is believed after several.
+    Optional<List<HostReport>> reading = process(answer, failure);
+    // An unchanged list also counts as a reading: a recovered host is accepted only after several.
     reading.ifPresent(readings);
   }
 
-  private synchronized Optional<List<HostReport>> take(
+  private synchronized Optional<List<HostReport>> process(
       Optional<HostList> answer, Throwable failure) {
     reading = false;
     if (failure == null) {
-      reach.succeeded();
+      reachability.succeeded();
       try {
         if (answer.isPresent()) {
           last = answer.get().of(dataCentre);
@@ -87,13 +90,13 @@
         backoff.reset();
         return Optional.of(last);
       } catch (ObjectFormatException unreadable) {
-        // Treated as no answer: what was read before stands.
+        // Treated as no answer; the previous reading remains valid.
       }
     }
     if (failure != null) {
-      reach.failed(failure);
+      reachability.failed(failure);
     }
-    nextReadAt = clock.millis() + READ_EVERY_MS + backoff.nextDelayMillis();
+    nextReadAt = clock.millis() + READ_INTERVAL_MS + backoff.nextDelayMillis();
     return Optional.empty();
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/PlatformFeed.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/PlatformFeed.java
@@ -24,19 +24,22 @@
 /**
  * Lists and watches the platform's configuration objects, one call at a time.
  *
- * <p>Safe for use by several threads: its state has its own lock, which is never held while the
- * sink is called.
+ * <p>Safe for use by several threads: a lock guards its state and is never held while the sink is
+ * called.
  */
 final class PlatformFeed {
 
   /**
-   * How long the platform may hold a watch. A connection that is cut without a sign is noticed only
-   * when a watch is overdue, so this bounds how long one watcher is blind.
+   * Maximum time for which the platform holds a watch call open. A silently broken connection is
+   * detected only when a watch is overdue, so this bounds how long one watcher misses changes.
    */
-  private static final long WATCH_WAIT_MS = 3_000;
+  private static final long WATCH_TIMEOUT_MS = 3_000;
 
-  /** Bounds what a burst of changes costs the platform: each watch brings what came meanwhile. */
-  private static final long WATCH_EVERY_MS = 250;
+  /**
+   * Minimum interval between calls. Limits the platform's load in a burst of changes, since each
+   * watch returns all changes since the previous one.
+   */
+  private static final long CALL_INTERVAL_MS = 250;
 
   private static final Set<ObjectKind> KINDS = Set.of(ObjectKind.values());
 
@@ -44,22 +47,22 @@
   private final PlatformClient platform;
   private final Sink sink;
   private final Backoff backoff;
-  private final PlatformReach reach;
+  private final PlatformReachability reachability;
   private boolean listed;
   private boolean calling;
   private long nextCallAt = Long.MIN_VALUE;
   private long watchAfter;
 
-  /** Takes what the platform answers, on event loops; must not block. */
+  /** Receives the platform's answers on event loops; must not block. */
   interface Sink {
 
-    /** Called with a whole listing of some kinds at a revision. */
+    /** Called with a complete listing of some kinds at a revision. */
     void listed(long revision, Set<ObjectKind> kinds, List<ConfigurationObject> objects);
 
-    /** Called with changes, deletions as tombstones. */
+    /** Called with changed objects, and tombstones for deleted ones. */
     void changed(List<ConfigurationObject> objects);
 
-    /** Called when an object cannot be read. */
+    /** Called when an object cannot be parsed. */
     void refused(String problem);
 
     /** Called when a call failed. */
@@ -67,34 +70,38 @@
   }
 
   PlatformFeed(
-      MillisClock clock, PlatformClient platform, Backoff backoff, PlatformReach reach, Sink sink) {
+      MillisClock clock,
+      PlatformClient platform,
+      Backoff backoff,
+      PlatformReachability reachability,
+      Sink sink) {
     this.clock = Objects.requireNonNull(clock, "clock");
     this.platform = Objects.requireNonNull(platform, "platform");
     this.backoff = Objects.requireNonNull(backoff, "backoff");
-    this.reach = Objects.requireNonNull(reach, "reach");
+    this.reachability = Objects.requireNonNull(reachability, "reach");
     this.sink = Objects.requireNonNull(sink, "sink");
   }
 
   /**
-   * Lets time pass.
+   * Starts a call to the platform if one is due.
    *
-   * @param list whether a new listing is wanted
-   * @param watch whether this daemon is one of those that watch
+   * @param list whether a new listing is required
+   * @param watch whether this daemon is a watcher
    */
   void tick(boolean list, boolean watch) {
     long now = clock.millis();
-    boolean listNow;
+    boolean listDue;
     long after;
     synchronized (this) {
-      listNow = list || !listed;
-      if (calling || now < nextCallAt || !(listNow || watch || reach.isProbeDue())) {
+      listDue = list || !listed;
+      if (calling || now < nextCallAt || !(listDue || watch || reachability.isProbeDue())) {
         return;
       }
       calling = true;
-      nextCallAt = now + WATCH_EVERY_MS;
+      nextCallAt = now + CALL_INTERVAL_MS;
       after = watchAfter;
     }
-    if (listNow) {
+    if (listDue) {
       list();
     } else {
       watch(after);
@@ -116,8 +123,8 @@
   }
 
   private void listed(List<ObjectList> listings) {
-    // The kinds are listed one by one. What changed in between shows in the watch from the lowest
-    // revision on, so taking the lowest loses nothing.
+    // The kinds are listed separately. The next watch starts from the lowest revision and so
+    // returns all changes made between the listings.
     long revision = listings.stream().mapToLong(ObjectList::revision).min().orElse(0);
     List<ConfigurationObject> objects = new ArrayList<>();
     for (ObjectList listing : listings) {
@@ -134,7 +141,7 @@
   private void watch(long after) {
     List<String> kinds = KINDS.stream().map(ObjectKind::pathName).sorted().toList();
     platform
-        .watch(kinds, after, WATCH_WAIT_MS)
+        .watch(kinds, after, WATCH_TIMEOUT_MS)
         .whenComplete(
             (changes, failure) -> {
               if (failure == null) {
@@ -160,20 +167,20 @@
   private void succeeded() {
     calling = false;
     backoff.reset();
-    reach.succeeded();
+    reachability.succeeded();
   }
 
-  // After an outage all watchers of the fleet come back at once. Each waits a random part of a
-  // growing time, so that their first calls spread and the platform is not refused its recovery.
+  // After an outage all watchers of the fleet reconnect simultaneously. Exponential backoff with
+  // jitter spreads their first calls, so that they do not overload the recovering platform.
   private void failed(Throwable failure) {
-    reach.failed(failure);
+    reachability.failed(failure);
     synchronized (this) {
       if (failure.getCause() instanceof PlatformException cause
           && cause.reason() == PlatformException.Reason.HISTORY_GONE) {
         listed = false;
       }
       calling = false;
-      nextCallAt = clock.millis() + Math.max(WATCH_EVERY_MS, backoff.nextDelayMillis());
+      nextCallAt = clock.millis() + Math.max(CALL_INTERVAL_MS, backoff.nextDelayMillis());
     }
     sink.failed(failure);
   }
@@ -184,14 +191,17 @@
       try {
         ObjectKind kind = ObjectKind.valueOf(stored.kind().toUpperCase(Locale.ROOT));
         return Optional.of(new Tombstone(new ObjectKey(kind, stored.name()), stored.version()));
-      } catch (IllegalArgumentException notOurs) {
+      } catch (IllegalArgumentException unknownKind) {
         return Optional.empty();
       }
     }
     return read(stored);
   }
 
-  /** An object that cannot be read keeps its last good version in force; operators are told. */
+  /**
+   * Keeps the last valid version of an object that cannot be parsed, and reports the problem to
+   * operators.
+   */
   private Optional<ConfigurationObject> read(StoredObject stored) {
     try {
       return Optional.of(ObjectCodec.read(stored));
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/PlatformReach.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/PlatformReachability.java
@@ -5,21 +5,21 @@
 import java.util.Objects;
 
 /**
- * Tells whether this daemon's own connection to the platform carries calls, as its last one showed.
+ * Tracks whether this daemon reaches the platform over its own connection, based on its last call.
  *
- * <p>The lease's contact does not tell: a peer may relay the renewals of a daemon that is cut off.
- * Safe for use by several threads.
+ * <p>Lease renewals are no evidence of this, since a peer may relay the renewals of a disconnected
+ * daemon. Safe for use by several threads.
  */
-final class PlatformReach {
+final class PlatformReachability {
 
-  /** Rare enough that 400 daemons in an outage make 40 calls a second. */
-  private static final long PROBE_EVERY_MS = 10_000;
+  /** At this interval, 400 daemons make 40 calls per second in an outage. */
+  private static final long PROBE_INTERVAL_MS = 10_000;
 
   private final MillisClock clock;
   private boolean cutOff;
   private long failedAt;
 
-  PlatformReach(MillisClock clock) {
+  PlatformReachability(MillisClock clock) {
     this.clock = Objects.requireNonNull(clock, "clock");
   }
 
@@ -35,13 +35,16 @@
     failedAt = clock.millis();
   }
 
-  /** Returns whether the last call had no answer. */
+  /** Returns whether the last call was not answered. */
   synchronized boolean isCutOff() {
     return cutOff;
   }
 
-  /** Returns whether a daemon that is cut off, and on which nobody counts, is to try again. */
+  /**
+   * Returns whether a disconnected daemon, which its peers exclude as a watcher, is due to probe
+   * the platform.
+   */
   synchronized boolean isProbeDue() {
-    return cutOff && clock.millis() - failedAt >= PROBE_EVERY_MS;
+    return cutOff && clock.millis() - failedAt >= PROBE_INTERVAL_MS;
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/PresetInForce.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/PresetInForce.java
@@ -7,31 +7,31 @@
 import java.util.List;
 
 /**
- * Tells which preset is in force, and announces each once.
+ * Determines the preset in force, and notifies the listener once per change.
  *
- * <p>Not thread-safe; the node drives it under its lock.
+ * <p>Not thread-safe; guarded by the lock of the {@link ConfigurationNode}.
  */
 final class PresetInForce {
 
   private final PresetSchedule schedule = PresetSchedule.empty();
   private Preset announced;
 
-  void learned(List<ConfigurationObject> objects) {
+  void add(List<ConfigurationObject> objects) {
     for (ConfigurationObject object : objects) {
       if (object instanceof PresetRecord preset) {
-        schedule.learned(preset);
+        schedule.add(preset);
       }
     }
   }
 
-  /** Returns the preset in force; ordinary until one is known. */
+  /** Returns the preset in force; ORDINARY if there is none. */
   Preset inForce(long wallMillis) {
     return schedule.inForce(wallMillis).orElse(Preset.ORDINARY);
   }
 
-  // A preset that is known but not yet in force hides the one before it, which the others still
-  // have. If none is known at all, the listing that made this daemon ready, or its ready peer's,
-  // held none: then there is none, and the ordinary one applies.
+  // A pending preset hides its predecessor, which the other daemons still use. If no preset is
+  // present at all, the listing that made this daemon or its ready peer ready contained none, so
+  // ORDINARY applies.
   boolean isKnown(long wallMillis) {
     return schedule.inForce(wallMillis).isPresent() || schedule.pending().isEmpty();
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/package-info.java
@@ -1,2 +1,2 @@
-/** What lives for a version of the configuration. */
+/** Keeps a daemon's configuration in step with the platform and its peers. */
 package io.sequoiapass.daemon.version;
