--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/DaemonIdentity.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/DaemonIdentity.java
@@ -5,17 +5,17 @@
 import java.util.Objects;
 
 /**
- * Tells who a daemon process is.
+ * Identity of a daemon process.
  *
  * @param daemon its name
- * @param dataCentre where it runs
- * @param incarnation a number that grows with each start under this name
- * @param peerAddress where peers reach it
+ * @param dataCentre its data centre
+ * @param incarnation a number that increases with each start of a process under this name
+ * @param peerAddress its address for peers
  */
 public record DaemonIdentity(
     DaemonId daemon, DataCentreId dataCentre, long incarnation, String peerAddress) {
 
-  /** Checks that all parts are there. */
+  /** Rejects null components. */
   public DaemonIdentity {
     Objects.requireNonNull(daemon, "daemon");
     Objects.requireNonNull(dataCentre, "dataCentre");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/Heartbeats.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/Heartbeats.java
@@ -11,36 +11,40 @@
 import java.util.Optional;
 
 /**
- * Writes this daemon's heartbeats and takes in those of the others in its data centre.
+ * Creates this daemon's heartbeats and processes those of the other daemons in its data centre.
  *
  * <p>Guarded by the lock of the {@link OwnershipNode}.
  */
 final class Heartbeats {
 
-  /** A peer never heard from echoes no time of ours: older than any report that is believed. */
-  private static final long NEVER = Long.MIN_VALUE / 2;
+  /**
+   * Echoed send time for peers from which no heartbeat was received; older than any accepted
+   * report.
+   */
+  private static final long NEVER_RECEIVED = Long.MIN_VALUE / 2;
 
   private final OwnershipDecisions decisions;
   private final Map<DaemonId, Long> echoes = new HashMap<>();
-  private long renewalTold;
+  private long lastSentLeaseVersion;
 
   Heartbeats(OwnershipDecisions decisions) {
     this.decisions = Objects.requireNonNull(decisions, "decisions");
   }
 
-  /** Returns the heartbeat for a peer; see {@link PeerMessage.Heartbeat} for the parameters. */
-  PeerMessage.Heartbeat write(
+  /** Returns a heartbeat for a peer; see {@link PeerMessage.Heartbeat} for the parameters. */
+  PeerMessage.Heartbeat create(
       long now, DaemonId peer, boolean draining, long configuration, int weightDemand) {
-    boolean out = decisions.contact().isOut(now) && !decisions.planner().isWritePending();
-    renewalTold = decisions.keeper().version();
+    boolean platformOut =
+        decisions.connectivity().isOut(now) && !decisions.planner().isWritePending();
+    lastSentLeaseVersion = decisions.leaseManager().version();
     PlatformReport report =
         new PlatformReport(
-            out,
+            platformOut,
             decisions.planner().table().version(),
-            renewalTold,
-            echoes.getOrDefault(peer, NEVER));
+            lastSentLeaseVersion,
+            echoes.getOrDefault(peer, NEVER_RECEIVED));
     return new PeerMessage.Heartbeat(
-        decisions.keeper().incarnation(),
+        decisions.leaseManager().incarnation(),
         draining,
         configuration,
         report,
@@ -49,17 +53,20 @@
         false);
   }
 
-  /** Returns whether the lease was renewed after the last heartbeat. */
+  /** Returns whether the lease was renewed since the last heartbeat. */
   boolean isDue() {
-    return decisions.keeper().version() != renewalTold;
+    return decisions.leaseManager().version() != lastSentLeaseVersion;
   }
 
-  /** Takes in a heartbeat of a daemon in this data centre; returns what that changes. */
-  Optional<MembershipChange> heard(long now, DaemonId peer, PeerMessage.Heartbeat beat) {
-    MemberState said = beat.draining() ? MemberState.DRAINING : MemberState.ALIVE;
-    decisions.keeper().peerReported(peer, beat.platform());
+  /**
+   * Processes a heartbeat of a daemon in this data centre; returns the resulting membership change,
+   * if any.
+   */
+  Optional<MembershipChange> received(long now, DaemonId peer, PeerMessage.Heartbeat beat) {
+    MemberState reported = beat.draining() ? MemberState.DRAINING : MemberState.ALIVE;
+    decisions.leaseManager().peerReported(peer, beat.platform());
     decisions.observer().heartbeatCarried(now, peer, beat.platform().leaseVersion());
     echoes.merge(peer, beat.sentMs(), Math::max);
-    return decisions.membership().heartbeatReceived(now, peer, beat.incarnation(), said);
+    return decisions.membership().heartbeatReceived(now, peer, beat.incarnation(), reported);
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/LeaseCodec.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/LeaseCodec.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Turns leases and ownership tables into the platform's JSON and back. */
+/** Converts leases and ownership tables to and from the platform's JSON. */
 final class LeaseCodec {
 
   private static final Gson GSON = new Gson();
@@ -42,7 +42,7 @@
     return GSON.fromJson(text, JsonObject.class);
   }
 
-  /** Returns the lease of an object; empty if there is none or it cannot be read. */
+  /** Returns the lease in an object; empty if there is none or it cannot be parsed. */
   static Optional<StoredLease> lease(long version, JsonObject value) {
     if (version == 0 || value == null) {
       return Optional.empty();
@@ -72,7 +72,7 @@
     return GSON.toJsonTree(new TableValue(table.epoch(), owners, incarnations)).getAsJsonObject();
   }
 
-  /** Returns the table of an object; the empty one if there is none or it cannot be read. */
+  /** Returns the table in an object; an empty table if there is none or it cannot be parsed. */
   static OwnershipTable table(Optional<StoredObject> stored) {
     if (stored.isEmpty()) {
       return OwnershipTable.EMPTY;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipCalls.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipCalls.java
@@ -49,7 +49,7 @@
         .thenApply(stored -> stored.map(StoredObject::version).orElse(0L));
   }
 
-  /** Deletes a lease object that still has the version given. */
+  /** Deletes a lease object if it still has the given version. */
   CompletableFuture<Void> deleteLease(DaemonId holder, long version, OperationId operation) {
     return platform.delete(LEASE, holder.value(), version, operation).thenAccept(answer -> {});
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipDecisions.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipDecisions.java
@@ -29,7 +29,7 @@
 import java.util.TreeSet;
 
 /**
- * Holds the decision objects of one daemon's lease and ownership, and answers what takes several of
+ * Decision objects for one daemon's lease and ownership, and the decisions that combine several of
  * them.
  *
  * <p>Guarded by the lock of the {@link OwnershipNode}.
@@ -41,44 +41,44 @@
 
   private final DaemonId self;
   private final DataCentreId dataCentre;
-  private final PlatformContact contact;
+  private final PlatformContact connectivity;
   private final Membership membership;
   private final LeaseObserver observer;
-  private final LeaseKeeper keeper;
+  private final LeaseKeeper leaseManager;
   private final OwnershipPlanner planner;
-  private final DeputyRule deputies;
+  private final DeputyRule backupOwners;
   private ConfigurationSnapshot lastSnapshot;
   private List<EndpointRecord> records = List.of();
   private Set<EndpointId> endpoints = Set.of();
   private List<EndpointRecord> served = List.of();
   private long servedVersion = NEVER_SERVED;
   private ConfigurationSnapshot servedSnapshot;
-  private Map<EndpointId, FencePolicy> fences = Map.of();
+  private Map<EndpointId, FencePolicy> fencePolicies = Map.of();
 
   OwnershipDecisions(
       DaemonIdentity identity, OwnershipTimes times, SplittableRandom random, long now) {
     this.self = identity.daemon();
     this.dataCentre = identity.dataCentre();
-    this.contact = PlatformContact.create(times.lease(), now);
+    this.connectivity = PlatformContact.create(times.lease(), now);
     this.membership = Membership.create(times.membership(), now);
-    this.observer = LeaseObserver.create(times.lease(), contact);
-    this.keeper =
+    this.observer = LeaseObserver.create(times.lease(), connectivity);
+    this.leaseManager =
         LeaseKeeper.create(
             times.lease(),
             self,
             identity.peerAddress(),
             identity.incarnation(),
             random.split(),
-            contact,
+            connectivity,
             now);
     this.planner =
         OwnershipPlanner.create(
             OwnershipSettings.DEFAULT, dataCentre, self, observer, random.split());
-    this.deputies = DeputyRule.create(self);
+    this.backupOwners = DeputyRule.create(self);
   }
 
-  PlatformContact contact() {
-    return contact;
+  PlatformContact connectivity() {
+    return connectivity;
   }
 
   Membership membership() {
@@ -89,60 +89,60 @@
     return observer;
   }
 
-  LeaseKeeper keeper() {
-    return keeper;
+  LeaseKeeper leaseManager() {
+    return leaseManager;
   }
 
   OwnershipPlanner planner() {
     return planner;
   }
 
-  void endpointsAre(ConfigurationSnapshot snapshot) {
+  void updateEndpoints(ConfigurationSnapshot snapshot) {
     if (snapshot == lastSnapshot) {
       return;
     }
     lastSnapshot = snapshot;
     records = snapshot.endpoints(dataCentre);
-    Set<EndpointId> known = new TreeSet<>();
+    Set<EndpointId> ids = new TreeSet<>();
     Map<EndpointId, FencePolicy> policies = new HashMap<>();
     for (EndpointRecord endpoint : records) {
-      known.add(endpoint.id());
+      ids.add(endpoint.id());
       policies.put(endpoint.id(), endpoint.fencePolicy());
     }
-    endpoints = known;
-    fences = policies;
-    planner.endpointsAre(known);
+    endpoints = ids;
+    fencePolicies = policies;
+    planner.endpointsAre(ids);
   }
 
-  /** Returns who may be given endpoints. */
+  /** Returns the daemons that may be assigned endpoints. */
   Map<DaemonId, Candidate> candidates(long now) {
     Map<DaemonId, Candidate> found = new HashMap<>();
     membership.candidates().stream()
         .filter(peer -> observer.isLive(now, peer))
         .forEach(
             peer -> found.put(peer, new Candidate(EQUAL_WEIGHT, membership.incarnation(peer))));
-    if (keeper.isCandidate(now)) {
-      found.put(self, new Candidate(EQUAL_WEIGHT, keeper.incarnation()));
+    if (leaseManager.isCandidate(now)) {
+      found.put(self, new Candidate(EQUAL_WEIGHT, leaseManager.incarnation()));
     }
     return found;
   }
 
   /**
-   * Returns the write of the ownership table that is due, if one is.
+   * Returns the next write of the ownership table, if one is due.
    *
    * @param now the time
-   * @param plannedMoves whether moves that nothing but balance asks for are allowed
-   * @param draining whether everything owned is to be handed over
+   * @param plannedMoves whether moves made only for load balance are allowed
+   * @param draining whether all owned endpoints are to be handed over
    */
   Optional<OwnershipProposal> proposal(long now, boolean plannedMoves, boolean draining) {
     Optional<OwnershipProposal> found = planner.retry(now);
-    if (found.isEmpty() && (keeper.needsTable(now) || planner.needsConfirmation())) {
+    if (found.isEmpty() && (leaseManager.needsTable(now) || planner.needsConfirmation())) {
       found = planner.confirm(now);
     }
     if (found.isEmpty()) {
       found = planner.takeOver(now);
     }
-    if (found.isPresent() || !keeper.mayHandOver(now)) {
+    if (found.isPresent() || !leaseManager.mayHandOver(now)) {
       return found;
     }
     if (draining) {
@@ -151,45 +151,47 @@
     return plannedMoves ? planner.rebalance(now) : Optional.empty();
   }
 
-  /** Returns the daemon that takes requests for an endpoint of this data centre. */
-  Optional<DaemonId> server(long now, EndpointId endpoint) {
-    return deputies.server(endpoint, planner.table(), membership, contact.isOut(now));
+  /** Returns the daemon that accepts requests for an endpoint of this data centre. */
+  Optional<DaemonId> servingDaemon(long now, EndpointId endpoint) {
+    return backupOwners.server(endpoint, planner.table(), membership, connectivity.isOut(now));
   }
 
   /**
-   * Returns the endpoints that this daemon serves, as owner or as deputy. While the platform
-   * answers there are no deputies, and the answer changes only with table and configuration: it is
-   * asked for many times a second, and looking at each of 520 endpoints would cost as much.
+   * Returns the endpoints that this daemon serves as owner or backup owner. While the platform
+   * answers there are no backup owners and the result depends only on the table and the
+   * configuration, so it is cached: the method is called many times per second, and each call would
+   * otherwise examine 520 endpoints.
    */
   List<EndpointRecord> served(long now) {
     OwnershipTable table = planner.table();
-    if (contact.isOut(now)) {
-      served = rolesOf(table, true);
+    if (connectivity.isOut(now)) {
+      served = endpointsServed(table, true);
       servedVersion = NEVER_SERVED;
     } else if (table.version() != servedVersion || lastSnapshot != servedSnapshot) {
-      served = rolesOf(table, false);
+      served = endpointsServed(table, false);
       servedVersion = table.version();
       servedSnapshot = lastSnapshot;
     }
     return served;
   }
 
-  private List<EndpointRecord> rolesOf(OwnershipTable table, boolean out) {
+  private List<EndpointRecord> endpointsServed(OwnershipTable table, boolean out) {
     return records.stream()
         .filter(
-            endpoint -> deputies.role(endpoint.id(), table, membership, out) != ServingRole.NONE)
+            endpoint ->
+                backupOwners.role(endpoint.id(), table, membership, out) != ServingRole.NONE)
         .toList();
   }
 
-  /** Returns whether this daemon may give an endpoint an order now. */
+  /** Returns whether this daemon may send an order to an endpoint. */
   boolean mayOrder(long now, EndpointId endpoint, OrderKind kind) {
-    FencePolicy policy = fences.getOrDefault(endpoint, FencePolicy.IGNORES);
-    return planner.isOwned(endpoint) && keeper.mayOrder(now, policy, kind);
+    FencePolicy policy = fencePolicies.getOrDefault(endpoint, FencePolicy.IGNORES);
+    return planner.isOwned(endpoint) && leaseManager.mayOrder(now, policy, kind);
   }
 
-  /** Returns the endpoints on which nothing new may start. */
+  /** Returns the endpoints on which no new request may start. */
   Set<EndpointId> handingOver(long now) {
-    if (keeper.standing(now) == LeaseStanding.SUPERSEDED) {
+    if (leaseManager.standing(now) == LeaseStanding.SUPERSEDED) {
       return planner.table().ownedBy(self);
     }
     Set<EndpointId> paused = planner.handingOver();
@@ -197,13 +199,13 @@
     return paused;
   }
 
-  /** Returns until when the lease lets the ledger act. */
+  /** Returns the time until which the lease authorizes the idempotency ledger to act. */
   long authorityUntil(long now) {
-    // A lease that was renewed late counts here: the ledger's own write confirms it, as the
-    // ownership table's does for orders.
+    // A lease that was renewed late is sufficient here: the ledger's own write confirms it, as the
+    // write of the ownership table does for orders.
     boolean held =
-        EnumSet.of(LeaseStanding.VALID, LeaseStanding.LAPSED).contains(keeper.standing(now))
-            && keeper.remainingMillis(now) > 0;
-    return held ? now + keeper.remainingMillis(now) : Long.MIN_VALUE;
+        EnumSet.of(LeaseStanding.VALID, LeaseStanding.LAPSED).contains(leaseManager.standing(now))
+            && leaseManager.remainingMillis(now) > 0;
+    return held ? now + leaseManager.remainingMillis(now) : Long.MIN_VALUE;
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipListener.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipListener.java
@@ -6,33 +6,36 @@
 import io.sequoiapass.coordination.process.MembershipChange;
 import io.sequoiapass.coordination.process.OwnershipTable;
 
-/** Hears of leases, members and ownership; called under the node's lock, must not block. */
+/**
+ * Receives changes of the lease, membership and ownership. Called under the lock of the {@link
+ * OwnershipNode}; must not block.
+ */
 public interface OwnershipListener {
 
   /**
-   * Called when this daemon's lease stands otherwise than before.
+   * Called when the status of this daemon's lease has changed.
    *
-   * @param standing how it stands
+   * @param status the new status
    */
-  void leaseStands(LeaseStanding standing);
+  void leaseStands(LeaseStanding status);
 
   /**
-   * Called when a newer ownership table is known.
+   * Called when a newer ownership table has been received or written.
    *
-   * @param dataCentre whose
+   * @param dataCentre the table's data centre
    * @param table the table
    */
   void tableChanged(DataCentreId dataCentre, OwnershipTable table);
 
   /**
-   * Called when a peer is heard again, or no longer.
+   * Called when the state of a peer has changed.
    *
-   * @param change what changed
+   * @param change the change
    */
   void memberChanged(MembershipChange change);
 
   /**
-   * Called when a peer is silent for so long that its work goes elsewhere.
+   * Called when a peer is declared dead after missed heartbeats, so that its work is reassigned.
    *
    * @param peer the peer
    */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipNode.java
@@ -37,11 +37,13 @@
 import java.util.function.Supplier;
 
 /**
- * Keeps this daemon's lease, hears its peers, and takes part in its data centre's ownership table.
+ * Maintains this daemon's lease, its membership view and its replica of the data centre's ownership
+ * table.
  *
- * <p>The decisions are those of {@link LeaseKeeper}, {@link Membership}, {@link LeaseObserver} and
- * {@link OwnershipPlanner}; this class carries their messages and calls. Safe for use by several
- * threads: one lock guards all decision objects, and no call is waited for under it.
+ * <p>The decisions are made by {@link LeaseKeeper}, {@link Membership}, {@link LeaseObserver} and
+ * {@link OwnershipPlanner}; this class performs their messaging and platform calls. Safe for use by
+ * several threads: one lock guards all decision objects, and no thread waits for a call while
+ * holding it.
  */
 public final class OwnershipNode implements OrderGate, LedgerLeases {
 
@@ -54,38 +56,39 @@
   private final OwnershipListener listener;
   private final OwnershipDecisions decisions;
   private final OwnershipTables tables;
-  private final PlatformContact contact;
+  private final PlatformContact connectivity;
   private final Membership membership;
   private final LeaseObserver observer;
-  private final LeaseKeeper keeper;
+  private final LeaseKeeper leaseManager;
   private final OwnershipPlanner planner;
   private final Relays relays;
   private final Heartbeats heartbeats;
   private final OwnershipCalls calls;
-  private LeaseStanding lastStanding = LeaseStanding.NOT_HELD;
+  private LeaseStanding lastStatus = LeaseStanding.NOT_HELD;
   private long nextTableReadAt = Long.MIN_VALUE;
-  private boolean readingTable;
+  private boolean tableReadInFlight;
   private boolean draining;
-  private CompletableFuture<Void> lastRenewal;
+  private CompletableFuture<Void> renewalBeforeRelease;
 
   /**
-   * Whether the last direct call was answered. A handover stops what it gives away until its write
-   * is answered. One that was begun by a daemon which only its peers' relays keep in contact waits
-   * as long as its link is down, and every request for those endpoints is held until its deadline.
-   * Found by {@code OwnershipOutageTest}; no handover begins unless this holds, so what is left are
-   * those begun between the cut and the next read of the table.
+   * Whether the last direct call to the platform was answered. A handover pauses its endpoints
+   * until the write of the table is answered. A daemon that reaches the platform only through
+   * relays would wait for as long as its own link is down, and every request for those endpoints
+   * would be held until its deadline ({@code OwnershipOutageTest} covers this). No handover starts
+   * unless this is true, which leaves only those started between the loss of the link and the next
+   * read of the table.
    */
-  private boolean platformAnswers;
+  private boolean platformReachable;
 
   /**
-   * Makes a node that holds no lease and knows no table.
+   * Creates a node without a lease or a table.
    *
-   * @param identity who this daemon is
-   * @param times leases, heartbeats and rounds
-   * @param clock the clock of all times
+   * @param identity the identity of this daemon
+   * @param times timing of leases, heartbeats and table reads
+   * @param clock the clock for all intervals and timeouts
    * @param platform the platform
-   * @param peers the other daemons
-   * @param listener hears of changes
+   * @param peers sends messages to the other daemons
+   * @param listener notified of changes
    */
   public OwnershipNode(
       DaemonIdentity identity,
@@ -101,15 +104,15 @@
     this.peers = Objects.requireNonNull(peers, "peers");
     this.listener = Objects.requireNonNull(listener, "listener");
     long now = clock.millis();
-    // Operation ids carry a number drawn here. Two processes of one name that drew the same would
-    // each take the other's write for its own, so the seed has to differ even between two that
-    // start in the same millisecond.
+    // Operation ids contain a random number. If two processes of the same name drew the same
+    // number, each would mistake the other's write for its own, so the seeds must differ even if
+    // both start in the same millisecond.
     SplittableRandom random = new SplittableRandom(new SecureRandom().nextLong());
     this.decisions = new OwnershipDecisions(identity, times, random, now);
-    this.contact = decisions.contact();
+    this.connectivity = decisions.connectivity();
     this.membership = decisions.membership();
     this.observer = decisions.observer();
-    this.keeper = decisions.keeper();
+    this.leaseManager = decisions.leaseManager();
     this.planner = decisions.planner();
     this.tables = new OwnershipTables(identity, peers, listener);
     this.heartbeats = new Heartbeats(decisions);
@@ -117,31 +120,32 @@
     this.relays = new Relays(platform, peers, clock);
   }
 
-  // Time.
+  // Timer.
 
   /**
-   * Lets time pass.
+   * Processes everything that is due: lease renewal, membership timeouts, table reads and ownership
+   * proposals.
    *
-   * @param snapshot the configuration as it stands
-   * @param plannedMoves whether the preset in force allows moves that nothing but balance asks for
+   * @param snapshot the current configuration
+   * @param plannedMoves whether the preset in force allows moves made only for load balance
    */
   public void tick(ConfigurationSnapshot snapshot, boolean plannedMoves) {
-    locked(
+    runLocked(
         () -> {
           long now = clock.millis();
-          decisions.endpointsAre(snapshot);
-          keeper.dataCentreIs(new TreeSet<>(peers.neighbours()));
-          keeper.tick(now).ifPresent(this::call);
-          completeLastRenewal();
+          decisions.updateEndpoints(snapshot);
+          leaseManager.dataCentreIs(new TreeSet<>(peers.neighbours()));
+          leaseManager.tick(now).ifPresent(this::sendLeaseCall);
+          completeRenewalBeforeRelease();
           peers.neighbours().forEach(peer -> membership.learned(now, peer, peers.hint(peer)));
-          membership.tick(now).forEach(this::changed);
+          membership.tick(now).forEach(this::memberChanged);
           membership.overdue(now).forEach(observer::fellSilent);
           readTable(now);
-          keeper.tableSeen(planner.table().version());
-          planner.candidatesAre(now, keeper.incarnation(), decisions.candidates(now));
+          leaseManager.tableSeen(planner.table().version());
+          planner.candidatesAre(now, leaseManager.incarnation(), decisions.candidates(now));
           planner.leasesToCheck(now).forEach(this::readLease);
           decisions
-              .proposal(now, plannedMoves && platformAnswers, draining && platformAnswers)
+              .proposal(now, plannedMoves && platformReachable, draining && platformReachable)
               .ifPresent(this::write);
           announce();
           tables.tick(now);
@@ -149,15 +153,15 @@
   }
 
   private void announce() {
-    LeaseStanding standing = keeper.standing(clock.millis());
-    if (standing != lastStanding) {
-      lastStanding = standing;
-      listener.leaseStands(standing);
+    LeaseStanding status = leaseManager.standing(clock.millis());
+    if (status != lastStatus) {
+      lastStatus = status;
+      listener.leaseStands(status);
     }
-    tables.known(planner.table());
+    tables.update(planner.table());
   }
 
-  private void changed(MembershipChange change) {
+  private void memberChanged(MembershipChange change) {
     listener.memberChanged(change);
     if (change.to() == MemberState.SUSPECT) {
       observer.fellSilent(change.daemon());
@@ -169,34 +173,34 @@
 
   // The platform.
 
-  private void call(LeaseAction action) {
-    relays.carry(
+  private void sendLeaseCall(LeaseAction action) {
+    relays.send(
         action,
         self,
         answered ->
-            locked(
+            runLocked(
                 () -> {
-                  answered.accept(keeper);
-                  completeLastRenewal();
+                  answered.accept(leaseManager);
+                  completeRenewalBeforeRelease();
                 }));
   }
 
   private void readTable(long now) {
-    if (readingTable || now < nextTableReadAt) {
+    if (tableReadInFlight || now < nextTableReadAt) {
       return;
     }
-    readingTable = true;
+    tableReadInFlight = true;
     nextTableReadAt = now + times.tableReadMs();
     calls
         .readTable()
         .whenComplete(
             (table, failure) ->
-                locked(
+                runLocked(
                     () -> {
-                      readingTable = false;
-                      platformAnswers = failure == null;
+                      tableReadInFlight = false;
+                      platformReachable = failure == null;
                       if (failure == null) {
-                        contact.succeeded(clock.millis());
+                        connectivity.succeeded(clock.millis());
                         planner.tableSeen(clock.millis(), table);
                         announce();
                       }
@@ -209,27 +213,29 @@
         .readLeaseVersion(holder)
         .whenComplete(
             (version, failure) ->
-                locked(
+                runLocked(
                     () -> {
                       if (failure == null) {
                         long now = clock.millis();
-                        contact.succeeded(now);
+                        connectivity.succeeded(now);
                         observer.leaseRead(sentAt, now, holder, version);
                       }
                     }));
   }
 
   private void write(OwnershipProposal proposal) {
-    calls.write(proposal).thenAccept(answer -> locked(() -> written(proposal.operation(), answer)));
+    calls
+        .write(proposal)
+        .thenAccept(answer -> runLocked(() -> written(proposal.operation(), answer)));
   }
 
   private void written(OperationId operation, WriteAnswer answer) {
-    platformAnswers = !(answer instanceof WriteAnswer.Lost);
-    if (platformAnswers) {
-      contact.succeeded(clock.millis());
+    platformReachable = !(answer instanceof WriteAnswer.Lost);
+    if (platformReachable) {
+      connectivity.succeeded(clock.millis());
     }
     planner.answered(clock.millis(), operation, answer);
-    tables.known(planner.table()).ifPresent(tables::broadcast);
+    tables.update(planner.table()).ifPresent(tables::broadcast);
     if (answer instanceof WriteAnswer.Conflict) {
       nextTableReadAt = Long.MIN_VALUE;
     }
@@ -238,41 +244,42 @@
   // Peers.
 
   /**
-   * Returns the heartbeat for a peer.
+   * Returns a heartbeat for a peer.
    *
    * @param peer the peer
    * @param configuration the digest of the configuration held
-   * @param weightDemand how many loads this daemon waits for
+   * @param weightDemand the number of loads that this daemon waits for
    */
   public PeerMessage.Heartbeat heartbeat(DaemonId peer, long configuration, int weightDemand) {
-    return reading(
-        () -> heartbeats.write(clock.millis(), peer, draining, configuration, weightDemand));
+    return supplyLocked(
+        () -> heartbeats.create(clock.millis(), peer, draining, configuration, weightDemand));
   }
 
   /**
-   * Returns whether peers are to be sent a heartbeat at once, since the lease was renewed after the
-   * last one. A renewal that no heartbeat carried is learned only by reading the lease once this
-   * daemon is silent, which starts the lease anew and delays the takeover.
+   * Returns whether a heartbeat must be sent to the peers immediately, because the lease was
+   * renewed since the last one. If this daemon failed before its heartbeats carried the renewal,
+   * peers would detect it only by reading the lease afterwards; that restarts their expiry timer
+   * and delays the takeover.
    */
   public boolean isHeartbeatDue() {
-    return reading(() -> heartbeats.isDue());
+    return supplyLocked(() -> heartbeats.isDue());
   }
 
   /**
-   * Takes a control message of a peer in this data centre.
+   * Processes a control message of a peer.
    *
    * @param peer the peer
    * @param message the message
    */
   public void received(DaemonId peer, PeerMessage message) {
     if (message instanceof PeerMessage.Heartbeat beat) {
-      locked(() -> heard(peer, beat));
+      runLocked(() -> heartbeatReceived(peer, beat));
     } else if (message instanceof PeerMessage.TablePush push) {
-      locked(() -> tableLearned(tables.received(push)));
+      runLocked(() -> tableReceived(tables.received(push)));
     } else if (message instanceof PeerMessage.TableDelta push) {
-      locked(() -> tableLearned(tables.received(push)));
+      runLocked(() -> tableReceived(tables.received(push)));
     } else if (message instanceof PeerMessage.TableRequest request) {
-      locked(() -> tables.asked(peer, request.knownVersion()));
+      runLocked(() -> tables.tableRequested(peer, request.knownVersion()));
     } else if (message instanceof PeerMessage.RelayCall call) {
       relays.serve(peer, call);
     } else if (message instanceof PeerMessage.RelayAnswer answer) {
@@ -280,25 +287,26 @@
     }
   }
 
-  private void heard(DaemonId peer, PeerMessage.Heartbeat beat) {
-    tables.versionSeen(peer, beat.platform().tableVersion());
+  private void heartbeatReceived(DaemonId peer, PeerMessage.Heartbeat beat) {
+    tables.peerVersionReceived(peer, beat.platform().tableVersion());
     if (peers.isNeighbour(peer)) {
-      heartbeats.heard(clock.millis(), peer, beat).ifPresent(this::changed);
+      heartbeats.received(clock.millis(), peer, beat).ifPresent(this::memberChanged);
     }
   }
 
-  private void tableLearned(boolean newer) {
-    // Not before one is known: a planner that was told of an empty table takes it for the
+  private void tableReceived(boolean newer) {
+    // Skipped until a table has been received, since the planner would take an empty table for the
     // platform's.
     if (newer) {
       planner.tableSeen(clock.millis(), tables.of(dataCentre));
     }
   }
 
-  // What others ask.
+  // Queries and stop.
 
   /**
-   * Returns the daemon that takes requests for an endpoint: its owner, or its deputy in an outage.
+   * Returns the daemon that accepts requests for an endpoint: its owner, or its backup owner in a
+   * platform outage.
    *
    * @param endpoint the endpoint
    */
@@ -306,12 +314,12 @@
     if (!endpoint.dataCentre().equals(dataCentre)) {
       return tables.of(endpoint.dataCentre()).owner(endpoint.id());
     }
-    return reading(() -> decisions.server(clock.millis(), endpoint.id()));
+    return supplyLocked(() -> decisions.servingDaemon(clock.millis(), endpoint.id()));
   }
 
-  /** Returns the endpoints that this daemon serves, as owner or as deputy. */
+  /** Returns the endpoints that this daemon serves as owner or backup owner. */
   public List<EndpointRecord> served() {
-    return reading(() -> decisions.served(clock.millis()));
+    return supplyLocked(() -> decisions.served(clock.millis()));
   }
 
   @Override
@@ -327,44 +335,46 @@
 
   @Override
   public boolean mayOthersServe() {
-    return reading(() -> !membership.isEveryoneHeard());
+    return supplyLocked(() -> !membership.isEveryoneHeard());
   }
 
   /**
-   * Returns the endpoints on which nothing new may start: those whose handover is under way, since
-   * their next owner may already evict, and all once a newer process acts under this name.
+   * Returns the endpoints on which no new request may start: those with a handover in progress,
+   * since the next owner may already evict adapters, and all of them once a newer process runs
+   * under this daemon's name.
    *
-   * <p>An endpoint that the table gives to a former process of this daemon is not among them.
-   * During an outage nobody can write a newer table; held, its requests would wait out the outage.
-   * Serving what is resident gives no order, so it harms no other owner.
+   * <p>Endpoints that the table assigns to a previous incarnation of this daemon are not included.
+   * No newer table can be written during an outage, so holding their requests would delay them
+   * until its end. Serving resident adapters sends no orders, so it cannot interfere with another
+   * owner.
    */
   public Set<EndpointId> handingOver() {
-    return reading(() -> decisions.handingOver(clock.millis()));
+    return supplyLocked(() -> decisions.handingOver(clock.millis()));
   }
 
-  /** Returns the peers of the data centre that are heard from. */
+  /** Returns the live peers of the data centre. */
   public Set<DaemonId> alive() {
-    return reading(() -> membership.candidates());
+    return supplyLocked(() -> membership.candidates());
   }
 
-  /** Returns the daemons that the newest table of this data centre names. */
+  /** Returns the daemons in the newest table of this data centre. */
   public Set<DaemonId> owners() {
     return tables.of(dataCentre).daemons();
   }
 
-  /** Returns how many endpoints the newest table gives to this daemon. */
+  /** Returns the number of endpoints that the newest table assigns to this daemon. */
   public int owned() {
     return tables.of(dataCentre).ownedBy(self).size();
   }
 
-  /** Returns how this daemon's lease stands. */
+  /** Returns the status of this daemon's lease. */
   public LeaseStanding standing() {
-    return reading(() -> keeper.standing(clock.millis()));
+    return supplyLocked(() -> leaseManager.standing(clock.millis()));
   }
 
   @Override
   public long authorityUntil() {
-    return reading(() -> decisions.authorityUntil(clock.millis()));
+    return supplyLocked(() -> decisions.authorityUntil(clock.millis()));
   }
 
   @Override
@@ -372,78 +382,82 @@
     lock.lock();
     try {
       long now = clock.millis();
-      List<DaemonId> here = daemons.stream().filter(peers::isNeighbour).toList();
-      observer.toCheck(now, here, 0).forEach(this::readLease);
-      Set<DaemonId> gone = new TreeSet<>(here);
-      gone.removeIf(daemon -> !observer.hasLapsed(now, daemon, knownSince));
-      return gone;
+      List<DaemonId> neighbours = daemons.stream().filter(peers::isNeighbour).toList();
+      observer.toCheck(now, neighbours, 0).forEach(this::readLease);
+      Set<DaemonId> expired = new TreeSet<>(neighbours);
+      expired.removeIf(daemon -> !observer.hasLapsed(now, daemon, knownSince));
+      return expired;
     } finally {
       lock.unlock();
     }
   }
 
-  /** Returns whether another daemon could take this one's endpoints over. */
+  /** Returns whether another daemon could take over this daemon's endpoints. */
   public boolean hasSuccessor() {
-    return reading(
+    return supplyLocked(
         () ->
-            platformAnswers
+            platformReachable
                 && !membership.candidates().isEmpty()
-                && !contact.isOut(clock.millis()));
+                && !connectivity.isOut(clock.millis()));
   }
 
-  /** Begins to hand over everything that this daemon owns. */
+  /** Starts to hand over all endpoints that this daemon owns. */
   public void drain() {
-    locked(
+    runLocked(
         () -> {
           if (!draining) {
             draining = true;
-            keeper.drain(clock.millis());
+            leaseManager.drain(clock.millis());
           }
         });
   }
 
   /**
-   * Gives the lease up for good, at the end of a planned stop: no order is given any more, and the
-   * next process under this name has no predecessor to wait for.
+   * Releases the lease permanently at the end of a planned stop. Afterwards no order is sent, and
+   * the next process under this name need not wait for the lease to expire.
    *
-   * @return ends once the platform has answered, well or not
+   * @return completes once the platform has answered or the call has failed
    */
   public CompletableFuture<Void> release() {
-    CompletableFuture<Void> settled = new CompletableFuture<>();
-    locked(
+    CompletableFuture<Void> renewalDone = new CompletableFuture<>();
+    runLocked(
         () -> {
-          keeper.release();
-          lastRenewal = settled;
-          completeLastRenewal();
+          leaseManager.release();
+          renewalBeforeRelease = renewalDone;
+          completeRenewalBeforeRelease();
         });
-    return settled.thenCompose(done -> deleteLease());
+    return renewalDone.thenCompose(done -> deleteLease());
   }
 
-  /** A deletion beside a renewal would conflict with it, and the lease would be left. */
-  private void completeLastRenewal() {
-    if (lastRenewal != null && !keeper.isRenewalOpen()) {
-      lastRenewal.complete(null);
+  /**
+   * Defers the deletion until no renewal is in flight; a concurrent renewal would conflict with it,
+   * and the lease would not be deleted.
+   */
+  private void completeRenewalBeforeRelease() {
+    if (renewalBeforeRelease != null && !leaseManager.isRenewalOpen()) {
+      renewalBeforeRelease.complete(null);
     }
   }
 
   private CompletableFuture<Void> deleteLease() {
-    return reading(
+    return supplyLocked(
         () -> {
-          OperationId operation = new OperationId("release/" + self + "/" + keeper.incarnation());
-          return calls.deleteLease(self, keeper.version(), operation);
+          OperationId operation =
+              new OperationId("release/" + self + "/" + leaseManager.incarnation());
+          return calls.deleteLease(self, leaseManager.version(), operation);
         });
   }
 
-  private <T> T reading(Supplier<T> question) {
+  private <T> T supplyLocked(Supplier<T> supplier) {
     lock.lock();
     try {
-      return question.get();
+      return supplier.get();
     } finally {
       lock.unlock();
     }
   }
 
-  private void locked(Runnable action) {
+  private void runLocked(Runnable action) {
     lock.lock();
     try {
       action.run();
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipPeers.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipPeers.java
@@ -6,18 +6,20 @@
 import io.sequoiapass.daemon.connection.peer.PeerMessage;
 import java.util.List;
 
-/** Knows the other daemons and sends to them; safe for use by several threads. */
+/**
+ * Directory of the other daemons, and sender of messages to them. Safe for use by several threads.
+ */
 public interface OwnershipPeers {
 
-  /** Returns the other daemons of this data centre, as the settings name them. */
+  /** Returns the other daemons of this data centre, as listed in the settings. */
   List<DaemonId> neighbours();
 
   /**
-   * Returns the other daemons of a data centre, as the settings name them.
+   * Returns the other daemons of a data centre, as listed in the settings.
    *
-   * @param wanted the data centre
+   * @param dataCentre the data centre
    */
-  List<DaemonId> daemonsOf(DataCentreId wanted);
+  List<DaemonId> daemonsOf(DataCentreId dataCentre);
 
   /**
    * Returns whether a daemon is in this data centre.
@@ -34,14 +36,14 @@
   DataCentreId dataCentreOf(DaemonId peer);
 
   /**
-   * Returns what the platform's host list says of the host that a daemon runs on.
+   * Returns the state, in the platform's host list, of the host on which a daemon runs.
    *
    * @param peer the daemon
    */
   HostHint hint(DaemonId peer);
 
   /**
-   * Sends a message to one daemon, if it is connected.
+   * Sends a message to one daemon; drops it if the daemon is not connected.
    *
    * @param peer the daemon
    * @param message the message
@@ -49,8 +51,9 @@
   void send(DaemonId peer, PeerMessage message);
 
   /**
-   * Sends a change of a table to every daemon of the region, on the connections in both directions:
-   * a refusal that follows on one of them must not overtake the change that explains it.
+   * Sends a change of a table to every daemon of the region over the connections in both
+   * directions, so that a refusal sent later on one of them cannot arrive before the change that
+   * explains it.
    *
    * @param push the change
    */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipTables.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipTables.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Exchanges the ownership tables of a region's data centres with other daemons.
+ * Replicates the ownership tables of a region's data centres between daemons.
  *
  * <p>Changes are guarded by the lock of the {@link OwnershipNode}; {@link #of} may be called by any
  * thread.
@@ -34,59 +34,62 @@
     this.listener = Objects.requireNonNull(listener, "listener");
   }
 
-  /** Returns the newest table known of a data centre. */
-  OwnershipTable of(DataCentreId wanted) {
-    return newest.getOrDefault(wanted, OwnershipTable.EMPTY);
+  /** Returns the newest table of a data centre; empty if none was received. */
+  OwnershipTable of(DataCentreId dataCentreId) {
+    return newest.getOrDefault(dataCentreId, OwnershipTable.EMPTY);
   }
 
-  private OwnershipReplica replica(DataCentreId wanted) {
-    return replicas.computeIfAbsent(wanted, absent -> OwnershipReplica.create(self));
+  private OwnershipReplica replica(DataCentreId dataCentreId) {
+    return replicas.computeIfAbsent(dataCentreId, absent -> OwnershipReplica.create(self));
   }
 
-  /** Takes in a table of the own data centre that was read or written; returns what it changed. */
-  Optional<OwnershipDelta> known(OwnershipTable table) {
+  /**
+   * Applies a table of this data centre that was read or written; returns the delta, if it is
+   * newer.
+   */
+  Optional<OwnershipDelta> update(OwnershipTable table) {
     Optional<OwnershipDelta> delta = replica(dataCentre).tableReceived(table);
-    announce(dataCentre);
+    publish(dataCentre);
     return delta;
   }
 
-  /** Sends a change that this daemon wrote to every daemon of the region. */
+  /** Sends a change written by this daemon to every daemon of the region. */
   void broadcast(OwnershipDelta delta) {
     peers.broadcastTable(new PeerMessage.TableDelta(dataCentre, delta));
   }
 
-  /** Takes in a whole table; returns whether it is news of the own data centre. */
+  /** Applies a complete table; returns whether it updates that of this data centre. */
   boolean received(PeerMessage.TablePush push) {
     boolean newer = replica(push.dataCentre()).tableReceived(push.table()).isPresent();
-    announce(push.dataCentre());
+    publish(push.dataCentre());
     return newer && push.dataCentre().equals(dataCentre);
   }
 
-  /** Takes in a change; returns whether it is news of the own data centre. */
+  /** Applies a delta; returns whether it updates the table of this data centre. */
   boolean received(PeerMessage.TableDelta push) {
     boolean newer = replica(push.dataCentre()).deltaReceived(push.delta());
-    announce(push.dataCentre());
+    publish(push.dataCentre());
     return newer && push.dataCentre().equals(dataCentre);
   }
 
-  /** Takes in which version of its data centre's table a peer holds. */
-  void versionSeen(DaemonId peer, long version) {
+  /** Records the version that a peer holds of its data centre's table. */
+  void peerVersionReceived(DaemonId peer, long version) {
     replica(peers.dataCentreOf(peer)).versionSeen(peer, version);
   }
 
-  /** Asks peers for what is missing. */
+  /** Requests missing changes from peers. */
   void tick(long now) {
     replicas.forEach(
-        (place, replica) ->
+        (tableDataCentre, replica) ->
             replica
-                .ask(now, peers.daemonsOf(place))
+                .ask(now, peers.daemonsOf(tableDataCentre))
                 .ifPresent(
                     peer ->
                         peers.send(peer, new PeerMessage.TableRequest(replica.table().version()))));
   }
 
-  /** Answers a peer that asked for what is newer than the version that it holds. */
-  void asked(DaemonId peer, long knownVersion) {
+  /** Answers a peer's request for changes newer than the version that it holds. */
+  void tableRequested(DaemonId peer, long knownVersion) {
     OwnershipReplica replica = replica(dataCentre);
     if (!replica.isNewerThan(knownVersion)) {
       return;
@@ -99,7 +102,7 @@
     peers.send(peer, answer);
   }
 
-  private void announce(DataCentreId changed) {
+  private void publish(DataCentreId changed) {
     OwnershipTable table = replica(changed).table();
     if (table.version() > of(changed).version()) {
       newest.put(changed, table);
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/Relays.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/Relays.java
@@ -21,8 +21,8 @@
 import java.util.function.Consumer;
 
 /**
- * Carries calls about a daemon's own lease to the platform, by itself or through a peer, and
- * carries such calls for peers.
+ * Sends calls for this daemon's lease to the platform, directly or through a peer, and relays such
+ * calls for peers.
  *
  * <p>Safe for use by several threads.
  */
@@ -30,18 +30,21 @@
 
   private static final String LEASE = "lease";
 
-  /** Relayed calls that wait for their answer; a keeper has one at a time, the rest are lost. */
-  private static final int MAX_WAITING = 16;
+  /**
+   * Maximum number of pending relayed calls; a lease manager has one at a time, so older ones are
+   * lost.
+   */
+  private static final int MAX_PENDING = 16;
 
   private final PlatformClient platform;
   private final OwnershipPeers peers;
   private final MillisClock clock;
   private final AtomicLong calls = new AtomicLong();
-  private final Map<Long, Consumer<PeerMessage.RelayAnswer>> waiting = new ConcurrentHashMap<>();
+  private final Map<Long, Consumer<PeerMessage.RelayAnswer>> pending = new ConcurrentHashMap<>();
 
-  /** Hands an answer to the keeper, under whatever lock guards it. */
+  /** Delivers an answer to the lease manager, under the lock that guards it. */
   @FunctionalInterface
-  interface Answered {
+  interface AnswerDelivery {
     void accept(Consumer<LeaseKeeper> answer);
   }
 
@@ -51,10 +54,10 @@
     this.clock = Objects.requireNonNull(clock, "clock");
   }
 
-  /** Carries out what a keeper asks for. */
-  void carry(LeaseAction action, DaemonId self, Answered answered) {
+  /** Performs the call requested by a lease manager. */
+  void send(LeaseAction action, DaemonId self, AnswerDelivery delivery) {
     if (action.relay().isPresent()) {
-      throughPeer(action, answered);
+      sendThroughPeer(action, delivery);
     } else if (action instanceof LeaseAction.Renew renew) {
       platform
           .put(
@@ -63,32 +66,35 @@
               LeaseCodec.json(renew.lease()),
               renew.expectedVersion(),
               renew.operation())
-          .thenAccept(answer -> answered.accept(keeper -> renewed(keeper, renew, answer)));
+          .thenAccept(
+              answer -> delivery.accept(leaseManager -> renewed(leaseManager, renew, answer)));
     } else {
       platform
           .read(LEASE, self.value())
-          .whenComplete((stored, failure) -> answered.accept(keeper -> read(keeper, stored)));
+          .whenComplete(
+              (stored, failure) -> delivery.accept(leaseManager -> read(leaseManager, stored)));
     }
   }
 
-  private void renewed(LeaseKeeper keeper, LeaseAction.Renew renew, WriteAnswer answer) {
-    keeper.renewalAnswered(clock.millis(), renew.operation(), answer);
+  private void renewed(LeaseKeeper leaseManager, LeaseAction.Renew renew, WriteAnswer answer) {
+    leaseManager.renewalAnswered(clock.millis(), renew.operation(), answer);
   }
 
-  private void read(LeaseKeeper keeper, Optional<StoredObject> stored) {
+  private void read(LeaseKeeper leaseManager, Optional<StoredObject> stored) {
     if (stored == null) {
-      keeper.readFailed(clock.millis());
+      leaseManager.readFailed(clock.millis());
     } else {
-      keeper.readAnswered(
+      leaseManager.readAnswered(
           clock.millis(),
           stored.flatMap(object -> LeaseCodec.lease(object.version(), object.value())));
     }
   }
 
-  private void throughPeer(LeaseAction action, Answered answered) {
+  private void sendThroughPeer(LeaseAction action, AnswerDelivery delivery) {
     long call = calls.incrementAndGet();
-    waiting.keySet().removeIf(old -> old <= call - MAX_WAITING);
-    waiting.put(call, answer -> answered.accept(keeper -> relayed(keeper, action, answer)));
+    pending.keySet().removeIf(old -> old <= call - MAX_PENDING);
+    pending.put(
+        call, answer -> delivery.accept(leaseManager -> relayed(leaseManager, action, answer)));
     PeerMessage.RelayCall message =
         action instanceof LeaseAction.Renew renew
             ? new PeerMessage.RelayCall(
@@ -100,15 +106,16 @@
     peers.send(action.relay().orElseThrow(), message);
   }
 
-  private void relayed(LeaseKeeper keeper, LeaseAction action, PeerMessage.RelayAnswer answer) {
+  private void relayed(
+      LeaseKeeper leaseManager, LeaseAction action, PeerMessage.RelayAnswer answer) {
     if (action instanceof LeaseAction.Renew renew) {
-      renewed(keeper, renew, writeAnswer(answer));
+      renewed(leaseManager, renew, writeAnswer(answer));
     } else if (answer.result() == RelayResult.READ) {
       JsonObject value = answer.value().isEmpty() ? null : LeaseCodec.parse(answer.value());
       Optional<StoredLease> lease = LeaseCodec.lease(answer.version(), value);
-      keeper.readAnswered(clock.millis(), lease);
+      leaseManager.readAnswered(clock.millis(), lease);
     } else {
-      keeper.readFailed(clock.millis());
+      leaseManager.readFailed(clock.millis());
     }
   }
 
@@ -125,15 +132,15 @@
     };
   }
 
-  /** Takes the answer to a call that a peer carried. */
+  /** Processes the answer to a call that a peer relayed. */
   void answered(PeerMessage.RelayAnswer answer) {
-    Consumer<PeerMessage.RelayAnswer> waits = waiting.remove(answer.call());
-    if (waits != null) {
-      waits.accept(answer);
+    Consumer<PeerMessage.RelayAnswer> handler = pending.remove(answer.call());
+    if (handler != null) {
+      handler.accept(answer);
     }
   }
 
-  /** Carries a peer's call about its own lease; nothing else is relayed. */
+  /** Relays a peer's call for the peer's own lease; no other calls are relayed. */
   void serve(DaemonId peer, PeerMessage.RelayCall call) {
     if (call.operation().isEmpty()) {
       platform
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/package-info.java
@@ -1,2 +1,2 @@
-/** Drives leases, membership and ownership with real messages and calls to the platform. */
+/** Connects the lease, membership and ownership logic to peer messages and platform calls. */
 package io.sequoiapass.daemon.process.ownership;
