--- a/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationStore.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationStore.java
@@ -18,7 +18,7 @@
  * versions.
  *
  * <pre>{@code
- * ConfigurationStore store = ConfigurationStore.create(ConfigurationStore.TOMBSTONE_MILLIS);
+ * ConfigurationStore store = ConfigurationStore.create(tombstoneMillis);
  * List<ConfigurationObject> applied = store.apply(now, pushed);
  * ConfigurationSnapshot snapshot = store.snapshot();
  * }</pre>
