--- a/gateway/src/main/java/io/sequoiapass/gateway/connection/EntryFrames.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/connection/EntryFrames.java
@@ -15,7 +15,7 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads entries of the list of endpoints as parts of a frame; the methods are pure. */
+/** Encodes and decodes the entries of the endpoint list within a frame. The methods are pure. */
 final class EntryFrames {
 
   private EntryFrames() {}
--- a/gateway/src/main/java/io/sequoiapass/gateway/connection/LinkFrames.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/connection/LinkFrames.java
@@ -19,15 +19,15 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Turns messages between daemons into frames and back.
+ * Encodes and decodes the messages between daemons.
  *
  * <pre>{@code
  * byte[] frame = LinkFrames.encode(new LinkMessage.Hello(daemon, dataCentre));
  * LinkMessage message = LinkFrames.decode(frame);
  * }</pre>
  *
- * <p>A frame is the type's number and then the fields in the order of the record. Safe for use by
- * several threads.
+ * <p>A frame is a MessagePack sequence: the number of the message type, then the record's
+ * components in order. Safe for use by several threads.
  */
 public final class LinkFrames {
 
@@ -44,7 +44,7 @@
 
   private LinkFrames() {}
 
-  /** Reports that bytes are no frame of this protocol. */
+  /** Thrown if bytes are not a frame of this protocol. */
   public static final class FormatException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -55,7 +55,7 @@
   }
 
   /**
-   * Returns the frame of a message.
+   * Encodes a message.
    *
    * @param message the message
    */
@@ -94,11 +94,11 @@
       writeAdapter(out, miss.adapter());
       out.packBoolean(miss.early());
     } else {
-      writeOfCoordinator(out, message);
+      writeCoordinatorMessage(out, message);
     }
   }
 
-  private static void writeOfCoordinator(MessageBufferPacker out, LinkMessage message)
+  private static void writeCoordinatorMessage(MessageBufferPacker out, LinkMessage message)
       throws IOException {
     if (message instanceof LinkMessage.CoordinatorStatus status) {
       out.packInt(COORDINATOR_STATUS);
@@ -202,10 +202,10 @@
   }
 
   /**
-   * Returns the message of a frame.
+   * Decodes a frame.
    *
    * @param frame the bytes
-   * @throws FormatException if they are no frame of the protocol
+   * @throws FormatException if they are not a frame of the protocol
    */
   public static LinkMessage decode(byte[] frame) throws FormatException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
@@ -215,7 +215,7 @@
       }
       return message;
     } catch (IOException | MessagePackException | IllegalArgumentException e) {
-      throw new FormatException("not a frame: " + e.getMessage(), e);
+      throw new FormatException("malformed frame: " + e.getMessage(), e);
     }
   }
 
@@ -259,7 +259,7 @@
       case RELEASES ->
           new LinkMessage.Releases(
               list(in, from -> new LinkMessage.Release(readAdapter(from), from.unpackLong())));
-      default -> throw new IOException("unknown type " + type);
+      default -> throw new IOException("unknown message type " + type);
     };
   }
 
@@ -273,7 +273,7 @@
     T read(MessageUnpacker in) throws IOException;
   }
 
-  /** Grows with what is there, since a bad frame may claim any length. */
+  /** The list grows with the elements read, since a malformed frame may state any length. */
   static <T> List<T> list(MessageUnpacker in, Reader<T> reader) throws IOException {
     int size = in.unpackArrayHeader();
     List<T> values = new ArrayList<>();
--- a/gateway/src/main/java/io/sequoiapass/gateway/connection/LinkMessage.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/connection/LinkMessage.java
@@ -11,7 +11,7 @@
 import java.util.List;
 
 /**
- * What daemons and the coordinator of a data centre exchange.
+ * A message between a daemon and the coordinator of a data centre.
  *
  * <p>Messages are immutable and safe for use by several threads.
  */
@@ -26,10 +26,11 @@
   record Hello(DaemonId daemon, DataCentreId dataCentre) implements LinkMessage {}
 
   /**
-   * What a daemon does at the coordinator's endpoints; endpoints that are not named get nothing.
+   * A daemon reports its load on the coordinator's endpoints; an endpoint that is not listed has
+   * none.
    *
    * @param coordinator whether the daemon coordinates its data centre
-   * @param usages one an endpoint
+   * @param usages one for each endpoint
    */
   record UsageReport(boolean coordinator, List<EndpointUsage> usages) implements LinkMessage {
     /** Copies the list. */
@@ -39,16 +40,17 @@
   }
 
   /**
-   * A daemon has requests for an adapter.
+   * A daemon requests a load of an adapter.
    *
    * @param adapter the adapter
-   * @param version the least version that will do
-   * @param another whether a further copy is wanted although there is one
-   * @param promptTokens tokens of the prompt of the request that waits
-   * @param outputTokens tokens of its answer, as far as known
-   * @param inTimeMs how long a load may be put off for an answer in time, in milliseconds
-   * @param waitMs how long the request would wait for a place, in milliseconds; 0 if it would not
-   * @param copyKnown whether the daemon knows of a copy, which it cannot use
+   * @param version the lowest acceptable version
+   * @param another whether a further copy is requested although one exists
+   * @param promptTokens length of the waiting request's prompt, in tokens
+   * @param outputTokens expected length of its answer, in tokens
+   * @param inTimeMs the longest delay of the load that still meets the target latency, in
+   *     milliseconds
+   * @param waitMs how long the request may be queued for a slot, in milliseconds; 0 if it may not
+   * @param copyKnown whether the daemon has a record of a copy that the request cannot use
    * @param excluded endpoints that the request cannot use, even if they hold the adapter
    */
   record LoadRequest(
@@ -64,27 +66,27 @@
       implements LinkMessage {}
 
   /**
-   * An endpoint refused a request for an adapter that was reported to be there.
+   * An endpoint rejected a request because it does not hold an adapter that was reported there.
    *
    * @param endpoint the endpoint
    * @param adapter the adapter
-   * @param early whether the adapter seems to be still on its way
+   * @param early whether the adapter is probably still loading
    */
   record AdapterMiss(EndpointId endpoint, AdapterName adapter, boolean early)
       implements LinkMessage {}
 
   /**
-   * A coordinator reports its status; comes often, so that a lost connection is noticed.
+   * A coordinator reports its status; sent often, so that a lost connection is detected.
    *
-   * @param epoch its epoch
+   * @param epoch its epoch, the fencing number of its orders
    * @param revision its lease's revision in the platform's store
-   * @param daemons daemons that are linked to it
-   * @param stopping whether it gives its lease up
-   * @param configuration what it knows of the operators' configuration
-   * @param releases what it knows of new versions
-   * @param endpoints what it knows of the list of endpoints
-   * @param loads how long adapters take to its engines
-   * @param slotsWanted whether requests wait for a place for their adapter
+   * @param daemons number of daemons connected to it
+   * @param stopping whether it releases its lease
+   * @param configuration how current its view of the operators' configuration is
+   * @param releases how current its view of the releases is
+   * @param endpoints how current its view of the endpoint list is
+   * @param loads estimates of how long its engines take to load an adapter
+   * @param slotsWanted whether requests wait for an adapter slot
    */
   record CoordinatorStatus(
       long epoch,
@@ -99,24 +101,25 @@
       implements LinkMessage {}
 
   /**
-   * How well a coordinator knows one kind of objects of the platform's store.
+   * How current a coordinator's view of one kind of objects in the platform's store is.
    *
-   * @param revision the store's revision at the last change that concerns others
-   * @param ageMs how long ago the store last answered, in milliseconds; negative if it does not
+   * @param revision the store's revision at the last change that other daemons need
+   * @param ageMs how long ago the store last answered, in milliseconds; negative if it is
+   *     unreachable
    */
   record StoreView(long revision, long ageMs) {
 
-    /** Nothing is known. */
+    /** The store has not been read. */
     public static final StoreView NONE = new StoreView(0, -1);
   }
 
   /**
-   * A coordinator reports how the list of endpoints has changed, so that not every daemon has to
-   * watch the store.
+   * A coordinator sends the endpoint list or its changes, so that not every daemon has to watch the
+   * store.
    *
-   * @param whole whether endpoints that are not named are not listed
-   * @param revision the store's revision up to which this holds
-   * @param entries entries that are new or say something else, each with its own revision
+   * @param whole whether this is a complete snapshot rather than changes
+   * @param revision the store's revision up to which changes are included
+   * @param entries entries that are new or changed, each with its own revision
    * @param gone endpoints whose entries were removed
    */
   record Endpoints(
@@ -130,7 +133,7 @@
   }
 
   /**
-   * An entry of the list of endpoints.
+   * An entry of the endpoint list with its revision.
    *
    * @param entry the entry
    * @param revision the store's revision at its last change
@@ -147,9 +150,9 @@
   record GoneEndpoint(EndpointId endpoint, long revision, long graceMs) {}
 
   /**
-   * New versions of adapters, so that not every daemon has to read the store.
+   * A coordinator sends new versions of adapters, so that not every daemon has to read the store.
    *
-   * @param releases the newest version of each adapter that is named
+   * @param releases the newest version of each adapter in the message
    */
   record Releases(List<Release> releases) implements LinkMessage {
     /** Copies the list. */
@@ -167,10 +170,10 @@
   record Release(AdapterName adapter, long version) {}
 
   /**
-   * A coordinator reports what its endpoints hold.
+   * A coordinator reports which adapters its endpoints hold.
    *
-   * @param whole whether endpoints and adapters that are not named are not there
-   * @param placements one an endpoint and adapter
+   * @param whole whether this is a complete snapshot rather than changes
+   * @param placements one for each endpoint and adapter
    */
   record Placements(boolean whole, List<Placement> placements) implements LinkMessage {
     /** Copies the list. */
@@ -185,14 +188,14 @@
    * @param endpoint the endpoint
    * @param adapter the adapter
    * @param version its version
-   * @param readyInMs when it is there, in milliseconds; negative if it has left
+   * @param readyInMs time until it is loaded, in milliseconds; negative if it was removed
    */
   record Placement(EndpointId endpoint, AdapterName adapter, long version, long readyInMs) {}
 
   /**
-   * What the other daemons ask of the coordinator's endpoints.
+   * A coordinator reports the load that the other daemons put on its endpoints.
    *
-   * @param loads one an endpoint
+   * @param loads one for each endpoint
    */
   record Loads(List<EndpointLoad> loads) implements LinkMessage {
     /** Copies the list. */
@@ -210,10 +213,10 @@
   record EndpointLoad(EndpointId endpoint, Load load) {}
 
   /**
-   * A coordinator cannot have an adapter loaded now.
+   * A coordinator has no free slot to load an adapter.
    *
    * @param adapter the adapter
-   * @param retryAfterMs when to ask again, in milliseconds
+   * @param retryAfterMs when to request the load again, in milliseconds
    */
   record LoadRejected(AdapterName adapter, long retryAfterMs) implements LinkMessage {}
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/connection/package-info.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/connection/package-info.java
@@ -1,2 +1,2 @@
-/** Frames and links between daemons. */
+/** Messages between daemons and their frames. */
 package io.sequoiapass.gateway.connection;
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/AdapterSearch.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/AdapterSearch.java
@@ -9,99 +9,103 @@
 import java.util.Set;
 
 /**
- * Tracks which data centres one request has asked to load its adapter, and their replies.
+ * Tracks the data centres from which one request has requested a load of its adapter, and their
+ * replies.
  *
- * <p>A data centre is first asked for a slot at once. If it has none, it replies with the expected
- * wait; where no other is better, the request is queued there. A data centre that does not keep its
- * estimate is not asked again. Not safe for use by several threads.
+ * <p>The first request to a data centre asks for an immediate slot. If none is free, the data
+ * centre replies with the expected wait; if no other data centre is better, the request is queued
+ * there. A data centre that exceeds its estimate is excluded. Not safe for use by several threads.
  */
 final class AdapterSearch {
 
-  /** A data centre that has said nothing for this long is not waited for, in milliseconds. */
-  private static final long ANSWER_MS = 800;
+  /** Timeout for the reply of a data centre, in milliseconds. */
+  private static final long REPLY_TIMEOUT_MS = 800;
 
   private final Map<DataCentreId, Long> queueWaits = new HashMap<>();
-  private final Set<DataCentreId> closed = new HashSet<>();
+  private final Set<DataCentreId> excluded = new HashSet<>();
   private DataCentreId requested;
   private boolean requestedCopy;
   private boolean enqueued;
   private long overdueAt;
   private long retryAfterMs;
 
-  /** Returns the data centres that may still bring the adapter. */
-  List<DataCentreId> open(List<DataCentreId> coordinated) {
+  /**
+   * Returns the data centres that may still load the adapter; none while a further copy is
+   * requested.
+   */
+  List<DataCentreId> candidates(List<DataCentreId> coordinated) {
     return requestedCopy
         ? List.of()
-        : coordinated.stream().filter(dataCentre -> !closed.contains(dataCentre)).toList();
+        : coordinated.stream().filter(dataCentre -> !excluded.contains(dataCentre)).toList();
   }
 
-  /** Returns the expected wait for a slot at each data centre that had none, in milliseconds. */
+  /**
+   * Returns the expected wait for a slot at each data centre without a free slot, in milliseconds.
+   */
   Map<DataCentreId, Long> queueWaits() {
     return queueWaits;
   }
 
   /**
-   * Notes that a data centre is requested.
+   * Records that a load is requested.
    *
-   * @param load what for
-   * @param waitMs how long the request waits there for its turn, in milliseconds; 0 if it does not
+   * @param load the load
+   * @param waitMs how long the request is queued for a slot, in milliseconds; 0 if it is not queued
    * @param now the time, in milliseconds
    */
   void request(Choice.RequestLoad load, long waitMs, long now) {
     requested = load.dataCentre();
     requestedCopy = load.another();
     enqueued = waitMs > 0;
-    overdueAt = now + Math.max(ANSWER_MS, waitMs);
+    overdueAt = now + Math.max(REPLY_TIMEOUT_MS, waitMs);
   }
 
-  /** Returns until when the answer is waited for, in milliseconds. */
+  /** Returns when the reply is overdue, in milliseconds. */
   long overdueAt() {
     return overdueAt;
   }
 
-  /** Closes the data centre that was asked if its reply is overdue. */
-  void closeOverdue(long now) {
+  /** Excludes the requested data centre if its reply is overdue. */
+  void excludeOverdue(long now) {
     if (requested != null && !requestedCopy && now >= overdueAt) {
-      close();
+      exclude();
     }
   }
 
-  /** Closes the data centre that was requested. */
-  void close() {
-    closed.add(requested);
+  /** Excludes the requested data centre. */
+  void exclude() {
+    excluded.add(requested);
     requested = null;
   }
 
-  /**
-   * Notes that the adapter is on its way; what the data centre that was requested says now is old.
-   */
-  void found() {
+  /** Ends the pending load request because the adapter is loading; a later reply is ignored. */
+  void loadFound() {
     requested = null;
   }
 
   /**
-   * Notes that the request is sent. If it comes back, because its endpoint refused it or was lost,
-   * that is a new search, in which all may have changed.
+   * Clears the search when the request is sent to an endpoint. If the endpoint rejects it or fails,
+   * a new search starts, since the earlier replies may be out of date.
    */
-  void sent() {
+  void reset() {
     requested = null;
     requestedCopy = false;
     queueWaits.clear();
-    closed.clear();
+    excluded.clear();
   }
 
   /**
-   * Takes in that a data centre has no place.
+   * Records that a data centre has no free slot.
    *
-   * @return false if this request has not requested it
+   * @return false if no load is requested there
    */
-  boolean noRoom(DataCentreId dataCentre, long queueWaitMs) {
+  boolean loadRejected(DataCentreId dataCentre, long queueWaitMs) {
     if (!dataCentre.equals(requested)) {
       return false;
     }
     retryAfterMs = retryAfterMs == 0 ? queueWaitMs : Math.min(retryAfterMs, queueWaitMs);
     if (enqueued) {
-      close();
+      exclude();
     } else {
       queueWaits.put(dataCentre, queueWaitMs);
       requested = null;
@@ -109,16 +113,19 @@
     return true;
   }
 
-  /** Takes in that a data centre's coordinator is disconnected; false if it was not requested. */
-  boolean lost(DataCentreId dataCentre) {
+  /**
+   * Records that a data centre's coordinator is disconnected; returns false if no load is requested
+   * there.
+   */
+  boolean coordinatorLost(DataCentreId dataCentre) {
     if (!dataCentre.equals(requested)) {
       return false;
     }
-    close();
+    exclude();
     return true;
   }
 
-  /** Returns the shortest expected wait for a slot, in milliseconds; 0 if there was always one. */
+  /** Returns the shortest expected wait for a slot, in milliseconds; 0 if no load was rejected. */
   long retryAfterMs() {
     return retryAfterMs;
   }
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/EndpointTimeouts.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/EndpointTimeouts.java
@@ -8,8 +8,8 @@
 final class EndpointTimeouts {
 
   /**
-   * A request that may be repeated is sent elsewhere when its answer takes this many times as long
-   * as usual: an endpoint that lost it will never answer.
+   * A repeatable request is sent to another endpoint after this multiple of the usual service time,
+   * since an endpoint that lost it never answers.
    */
   private static final double SERVICE_TIMEOUT_RATIO = 4;
 
@@ -22,21 +22,22 @@
   private EndpointTimeouts() {}
 
   /**
-   * Returns how long a request may wait for a place for its adapter, in milliseconds: a late answer
-   * is worth less to its caller than one in time, and more than none as long as it stays.
+   * Returns how long a request may be queued for an adapter slot, in milliseconds. The limit is the
+   * time until the caller abandons the request, not the target latency: a late answer is better
+   * than none.
    *
-   * @param route its route
+   * @param route the request's route
    * @param waitedMs the time since it arrived, in milliseconds
    * @param leftMs the time until its deadline, in milliseconds
    * @param loadMs the time from the order of a load until the answer begins, in milliseconds
    */
   static long maxQueueMs(RouteSpec route, long waitedMs, long leftMs, long loadMs) {
-    long staysMs = Math.min(route.abandonMs() - waitedMs, leftMs);
-    return Math.max(0, staysMs - loadMs);
+    long callerWaitMs = Math.min(route.abandonMs() - waitedMs, leftMs);
+    return Math.max(0, callerWaitMs - loadMs);
   }
 
   /**
-   * Returns how long a load may be put off for an answer in time, in milliseconds.
+   * Returns the longest delay of a load that still meets the target latency, in milliseconds.
    *
    * @param route the request's route
    * @param waitedMs the time since it arrived, in milliseconds
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/EventRelay.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/EventRelay.java
@@ -6,20 +6,20 @@
 import java.util.regex.Pattern;
 
 /**
- * Cuts the bytes of a stream into whole events and passes each on once.
+ * Splits the bytes of a server-sent event stream into complete events and forwards each once.
  *
  * <pre>{@code
- * byte[] whole = relay.take(part);   // whole events so far, maybe none
- * long last = relay.lastId();        // where another endpoint may go on
+ * byte[] complete = relay.take(part);   // complete events so far, may be empty
+ * long last = relay.lastId();           // where another endpoint may resume
  * }</pre>
  *
- * <p>An endpoint may stop in the middle of an event. Only whole events are passed on, so that
- * another endpoint can go on after the last of them and the caller sees no piece twice. Not safe
- * for use by several threads.
+ * <p>An endpoint may fail in the middle of an event. Only complete events are forwarded, so that
+ * another endpoint can resume after the last of them and the caller receives no event twice. Not
+ * safe for use by several threads.
  */
 final class EventRelay {
 
-  /** No event has been passed on. */
+  /** No event has been forwarded. */
   static final long NONE = -1;
 
   private static final String ID_FIELD = "id:";
@@ -32,27 +32,27 @@
     this.lastId = lastId;
   }
 
-  /** Takes bytes as they arrive and returns the whole events among them and what came before. */
+  /** Appends received bytes and returns the events that are now complete. */
   byte[] take(byte[] part) {
     byte[] all = join(pending, part);
     int end = endOfLastEvent(all);
     pending = Arrays.copyOfRange(all, end, all.length);
-    return passOn(all, end);
+    return forward(all, end);
   }
 
-  private byte[] passOn(byte[] all, int end) {
-    ByteArrayOutputStream passed = new ByteArrayOutputStream(end);
+  private byte[] forward(byte[] all, int end) {
+    ByteArrayOutputStream forwarded = new ByteArrayOutputStream(end);
     int from = 0;
     while (from < end) {
       int to = endOfEvent(all, from, end);
       long id = idOf(all, from, to);
       if (id == NONE || id > lastId) {
-        passed.write(all, from, to - from);
+        forwarded.write(all, from, to - from);
         lastId = Math.max(lastId, id);
       }
       from = to;
     }
-    return passed.toByteArray();
+    return forwarded.toByteArray();
   }
 
   private static byte[] join(byte[] first, byte[] second) {
@@ -108,17 +108,20 @@
     }
   }
 
-  /** Returns what came after the last whole event; belongs to the answer if that ends whole. */
-  byte[] rest() {
+  /**
+   * Returns the bytes after the last complete event; they are part of the answer if the stream ends
+   * normally.
+   */
+  byte[] remainder() {
     return pending;
   }
 
-  /** Drops what came after the last whole event. */
-  void drop() {
+  /** Discards the bytes after the last complete event. */
+  void discardRemainder() {
     pending = new byte[0];
   }
 
-  /** Returns the number of the last event that was passed on; {@link #NONE} if there is none. */
+  /** Returns the id of the last event that was forwarded; {@link #NONE} if there is none. */
   long lastId() {
     return lastId;
   }
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/FailoverPolicy.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/FailoverPolicy.java
@@ -4,18 +4,18 @@
 import io.sequoiapass.gateway.process.Choice;
 
 /**
- * Decides what a request does whose endpoint has stopped responding on an open connection.
+ * Decides whether a request fails over when its endpoint stops responding on an open connection.
  *
  * <pre>{@code
  * FailoverPolicy.Step step = FailoverPolicy.next(choice, from, budget.allows(now));
  * }</pre>
  *
- * <p>The endpoint may still go on, so the request leaves it only for one that can take it at once.
- * The methods are pure.
+ * <p>The endpoint may still recover, so the request moves only to an endpoint that can take it
+ * immediately. The methods are pure.
  */
 final class FailoverPolicy {
 
-  /** What to do. */
+  /** The next step. */
   enum Step {
     /** Cancel the attempt and send the request to the other endpoint. */
     MOVE,
@@ -30,7 +30,7 @@
   /**
    * Returns the next step.
    *
-   * @param choice what would be done with the request without this endpoint
+   * @param choice what would be done with the request if this endpoint were excluded
    * @param from the endpoint that has stopped responding
    * @param mayRetry whether the retry budget allows another attempt
    */
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/ForwardedRequest.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/ForwardedRequest.java
@@ -12,8 +12,8 @@
 /**
  * A caller's request in the form in which it is sent to endpoints.
  *
- * @param protocol the names that endpoints speak
- * @param route the route that takes it
+ * @param protocol the wire protocol of the endpoints
+ * @param route the request's route
  * @param request the caller's request
  */
 record ForwardedRequest(EndpointProtocol protocol, RouteSpec route, HttpRequestMessage request) {
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/Generation.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/Generation.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /**
- * What an engine is asked to generate.
+ * A text generation request to an engine.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param model the base model
  * @param adapter the adapter; empty for the base model alone
- * @param promptTokens tokens of the prompt
- * @param maxOutputTokens the most tokens of the answer
- * @param parts the parts of the prompt in their order; requests share leading parts
+ * @param promptTokens length of the prompt, in tokens
+ * @param maxOutputTokens the maximum length of the answer, in tokens
+ * @param parts the parts of the prompt, in order; requests may share leading parts
  */
 public record Generation(
     ModelId model,
@@ -23,14 +23,14 @@
     int maxOutputTokens,
     List<PromptPart> parts) {
 
-  /** Share of the stated most that an answer usually has. */
+  /** Usual length of an answer, as a share of the maximum. */
   private static final double USUAL_SHARE = 0.8;
 
   /**
    * One part of a prompt.
    *
-   * @param id names the part; equal names hold equal tokens
-   * @param tokens its length
+   * @param id the part's id; parts with equal ids have equal tokens
+   * @param tokens its length, in tokens
    */
   public record PromptPart(String id, int tokens) {}
 
@@ -40,14 +40,14 @@
   }
 
   /**
-   * Returns how long the answer is likely to be, in tokens. Callers state the most that they take;
-   * most answers stay below it.
+   * Returns the expected length of the answer, in tokens. Callers state a maximum; most answers
+   * stay below it.
    */
   public long expectedOutputTokens() {
     return Math.round(maxOutputTokens * USUAL_SHARE);
   }
 
-  /** Returns the memory that the whole run takes at an engine, in tokens. */
+  /** Returns the key-value cache that the run needs at an engine, in tokens. */
   public long memoryTokens() {
     return (long) promptTokens + maxOutputTokens;
   }
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/LoadRequest.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/LoadRequest.java
@@ -4,14 +4,15 @@
 import java.util.Set;
 
 /**
- * A request's request for its adapter at an engine.
+ * Requests a load of an adapter for one waiting request.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param generation what is to be generated with it
- * @param another whether a further copy is wanted although there is one
- * @param inTimeMs how long the load may be put off for an answer in time, in milliseconds
- * @param waitMs how long the request would wait for a place, in milliseconds; 0 if it would not
+ * @param generation the generation that waits for it
+ * @param another whether a further copy is requested although one exists
+ * @param inTimeMs the longest delay of the load that still meets the target latency, in
+ *     milliseconds
+ * @param waitMs how long the request may be queued for a slot, in milliseconds; 0 if it may not
  * @param excluded endpoints that the request cannot use, even if they hold the adapter
  */
 public record LoadRequest(
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/LocalResponse.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/LocalResponse.java
@@ -12,13 +12,13 @@
   private LocalResponse() {}
 
   /**
-   * Reports a caller why its request has no answer.
+   * Sends an error response to a caller.
    *
-   * @param callers the names that callers speak
-   * @param facts what the caller said
+   * @param callers the wire protocol of the callers
+   * @param facts what the request's headers state
    * @param responder the caller's connection
    * @param kind the reason
-   * @param retryAfterMs when the caller is to come back, in milliseconds; empty for no advice
+   * @param retryAfterMs when the caller may retry, in milliseconds; empty to omit the advice
    */
   public static void send(
       CallerProtocol callers,
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/PendingRequests.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/PendingRequests.java
@@ -26,7 +26,7 @@
   }
 
   /**
-   * Dispatches all requests for an adapter that is held or loading.
+   * Dispatches all requests that wait for an adapter which an endpoint now holds or loads.
    *
    * @param adapter the adapter
    */
@@ -35,18 +35,18 @@
   }
 
   /**
-   * Reports the requests for an adapter that a data centre cannot bring it now.
+   * Notifies the requests for an adapter that a data centre has no free slot for it.
    *
    * @param dataCentre the data centre
    * @param adapter the adapter
-   * @param retryAfterMs when to ask again, in milliseconds
+   * @param retryAfterMs when to request the load again, in milliseconds
    */
   public void noRoom(DataCentreId dataCentre, AdapterName adapter, long retryAfterMs) {
-    waitingFor(adapter).forEach(request -> request.noRoom(dataCentre, retryAfterMs));
+    waitingFor(adapter).forEach(request -> request.loadRejected(dataCentre, retryAfterMs));
   }
 
   /**
-   * Reports all requests that a data centre's coordinator is disconnected.
+   * Notifies all requests that a data centre's coordinator is disconnected.
    *
    * @param dataCentre the data centre
    */
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/RelayAttempt.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/RelayAttempt.java
@@ -10,12 +10,12 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Receives the answer to one attempt of a request and reports to the request what it means. Used on
- * the event loop of the connection that carries it.
+ * Receives the answer to one attempt of a request, classifies it and notifies the request. Used on
+ * the event loop of the attempt's connection.
  */
 final class RelayAttempt implements HttpStreamListener {
 
-  /** The largest answer that is held until it is whole, in bytes. */
+  /** Largest answer that is buffered until it is complete, in bytes. */
   private static final int MAX_HELD_BYTES = 8 << 20;
 
   final EndpointGroup.Ticket ticket;
@@ -23,7 +23,7 @@
   final long sentAt;
   volatile HttpStream stream;
 
-  /** Whether a load elsewhere was requested meanwhile; used under the request's lock. */
+  /** Whether a load at another endpoint was requested; used under the request's lock. */
   boolean loadRequested;
 
   private final RelayedRequest request;
@@ -31,7 +31,7 @@
   private AnswerClass answer;
   private int status;
   private HttpHeaders headers;
-  private volatile boolean over;
+  private volatile boolean completed;
 
   RelayAttempt(
       RelayedRequest request, EndpointGroup.Ticket ticket, DataCentreId dataCentre, long sentAt) {
@@ -42,18 +42,18 @@
   }
 
   /**
-   * A whole answer but for its status.
+   * Headers and body of a complete answer.
    *
    * @param headers its headers
    * @param bytes its body
    */
-  // Bodies are never compared, so the array's identity in equals does no harm.
+  // Bodies are never compared, so equals by array identity is harmless.
   @SuppressWarnings("ArrayRecordComponent")
   record Body(HttpHeaders headers, byte[] bytes) {}
 
-  /** Returns whether the endpoint has given its final answer to this attempt. */
-  boolean isOver() {
-    return over;
+  /** Returns whether the attempt has ended, with a complete answer or a failure. */
+  boolean isCompleted() {
+    return completed;
   }
 
   @Override
@@ -80,7 +80,7 @@
 
   @Override
   public void ended() {
-    over = true;
+    completed = true;
     if (answer.isNotRun()) {
       request.rejected(this, answer);
     } else if (answer == AnswerClass.UNTRUSTED) {
@@ -94,7 +94,7 @@
 
   @Override
   public void failed(HttpFailure failure) {
-    over = true;
+    completed = true;
     if (answer != null && answer.isNotRun()) {
       request.rejected(this, answer);
     } else if (failure.mayHaveReached()) {
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/RelayContext.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/RelayContext.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * What all requests of the process use.
+ * Dependencies that all requests of the process share.
  *
- * @param http carries requests to endpoints
- * @param callers the names that callers speak
- * @param endpoints the names that endpoints speak
- * @param adapters brings adapters
+ * @param http sends requests to endpoints
+ * @param callers the wire protocol of the callers
+ * @param endpoints the wire protocol of the endpoints
+ * @param adapters requests loads of adapters
  * @param waiting requests that wait for adapters
- * @param loop runs what comes later
+ * @param loop runs timers
  * @param clock the monotonic clock
  * @param log the log
  * @param metrics the counters
@@ -36,28 +36,29 @@
     DecisionLog log,
     GatewayMetrics metrics) {
 
-  /** Brings adapters to engines; implementations are safe for use by several threads. */
+  /** Requests loads of adapters; implementations are safe for use by several threads. */
   public interface AdapterSource {
 
-    /** Returns the data centres where adapters can be ordered, the nearest first. */
+    /** Returns the data centres where loads can be requested, the nearest first. */
     List<DataCentreId> loadable();
 
     /**
-     * Has an adapter brought.
+     * Requests a load of an adapter.
      *
-     * @param dataCentre where to
-     * @param request for what, and how long the request would wait
-     * @return false if nobody can be asked
+     * @param dataCentre the data centre whose engines are to load it
+     * @param request the adapter, and how long the request may be queued
+     * @return false if the data centre has no connected coordinator
      */
     boolean requestLoad(DataCentreId dataCentre, LoadRequest request);
 
     /**
-     * Reports that an endpoint refused a request for an adapter that should have been there.
+     * Reports that an endpoint rejected a request because it does not hold the adapter, although it
+     * was expected to.
      *
      * @param dataCentre the endpoint's data centre
      * @param endpoint the endpoint
      * @param adapter the adapter
-     * @param early whether the adapter seems to be still on its way
+     * @param early whether the adapter is probably still loading
      */
     void missed(DataCentreId dataCentre, EndpointId endpoint, AdapterName adapter, boolean early);
   }
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/RelayedRequest.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/RelayedRequest.java
@@ -26,39 +26,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Brings one request to an endpoint and its answer back to the caller.
+ * Forwards one request to an endpoint and relays the answer to the caller.
  *
- * <p>It ends in one of three ways: the endpoint's answer, whole; a refusal, when it is proved that
- * no endpoint ran the request; or a failure that claims nothing. Safe for use by several threads:
- * its state has one lock, and what arrives for an attempt that is over is passed over.
+ * <p>It ends in one of three ways: with the complete answer of an endpoint; with a rejection, if
+ * provably no endpoint ran the request; or with an error that leaves open whether it ran. Safe for
+ * use by several threads: one lock guards its state, and events of an attempt that has ended are
+ * ignored.
  */
 public final class RelayedRequest {
 
-  /** Most endpoints that a request is sent to, refusals included. */
+  /** Maximum number of times that a request is sent, including rejected attempts. */
   private static final int MAX_SENDS = 4;
 
-  /** With less time than this left, in milliseconds, no endpoint can answer. */
-  private static final long LEAST_MS = 15;
+  /** Below this remaining time, in milliseconds, no endpoint can answer in time. */
+  private static final long MIN_REMAINING_MS = 15;
 
   /**
-   * Time after the deadline until the caller is refused, in milliseconds; the endpoint's own
-   * answer, which says more, may still arrive.
+   * Time after the deadline until the caller gets an error, in milliseconds; the endpoint's own
+   * answer, which is more specific, may still arrive.
    */
   private static final long DEADLINE_SLACK_MS = 40;
 
-  /** A connection to an endpoint is given this long beyond the deadline, in milliseconds. */
+  /** Timeout of a call to an endpoint beyond the request's deadline, in milliseconds. */
   private static final long CALL_SLACK_MS = 300;
 
-  /** How long another copy may take to be placed before the request goes to the one there is. */
-  private static final long COPY_PLACING_MS = 60;
+  /**
+   * How long a request waits until a further copy of its adapter is loading, in milliseconds; then
+   * it is sent to the existing copy.
+   */
+  private static final long COPY_WAIT_MS = 60;
 
-  /** A stream that pauses this many times the wanted gap has stopped. */
+  /** A stream counts as stalled after this multiple of the route's target gap. */
   private static final long STALL_GAPS = 3;
 
-  /** An adapter that was not there yet is asked for again after this time for each sending. */
-  private static final long EARLY_MS = 60;
+  /**
+   * Delay before an endpoint that does not hold the adapter yet is tried again, in milliseconds for
+   * each attempt so far.
+   */
+  private static final long EARLY_RETRY_MS = 60;
 
-  /** A caller that finds no way into the system is asked back after this time, in milliseconds. */
+  /** Retry advice to a caller whose request found no endpoint, in milliseconds. */
   private static final long RETRY_AFTER_MS = 300;
 
   private final RelayContext context;
@@ -85,18 +92,18 @@
   private int sends;
   private int runs;
   private boolean waiting;
-  private boolean answering;
-  private boolean over;
+  private boolean responseStarted;
+  private boolean completed;
 
   /**
-   * Makes a request that has not been sent anywhere.
+   * Creates a request; {@link #start} sends it.
    *
-   * @param context what all requests use
-   * @param route the route that takes it
+   * @param context the dependencies that all requests share
+   * @param route the request's route
    * @param group the endpoints of its service
-   * @param budget bounds repeats
-   * @param facts what the caller says
-   * @param exchange the caller's request and what answers it
+   * @param budget limits retries
+   * @param facts what the request's headers state
+   * @param exchange the caller's request and its responder
    * @param finished runs once at the end
    */
   public RelayedRequest(
@@ -125,44 +132,44 @@
   }
 
   /**
-   * A caller's request and what answers it.
+   * A caller's request and its responder.
    *
    * @param request the request
    * @param responder sends the answer
    */
   public record Exchange(HttpRequestMessage request, HttpResponder responder) {}
 
-  /** Begins. */
+  /** Starts the request. */
   public synchronized void start() {
     responder.onClose(this::callerLeft);
-    responder.onWritable(this::callerReads);
+    responder.onWritable(this::resumeStream);
     long leftMs = deadlineAt - arrivedAt + DEADLINE_SLACK_MS;
     deadlineTimer =
-        context.loop().schedule(this::deadline, Math.max(0, leftMs), TimeUnit.MILLISECONDS);
+        context.loop().schedule(this::deadlinePassed, Math.max(0, leftMs), TimeUnit.MILLISECONDS);
     dispatch();
   }
 
-  /** Looks for an endpoint again: an adapter is there, or on its way. */
+  /** Dispatches again because an endpoint holds or loads the adapter. */
   synchronized void retryDispatch() {
-    if (waiting && !over) {
-      rest(ResumeDelay.READ_MS);
+    if (waiting && !completed) {
+      scheduleDispatch(ResumeDelay.READ_DELAY_MS);
     }
   }
 
   /**
-   * Called when a data centre cannot bring the adapter now. One that this request did not ask says
-   * nothing about its turn elsewhere.
+   * Called when a data centre has no free slot. Ignored unless this request has requested a load
+   * there, since other replies do not affect its position in a queue.
    */
-  synchronized void noRoom(DataCentreId dataCentre, long queueWaitMs) {
-    if (waiting && !over && search.noRoom(dataCentre, queueWaitMs)) {
-      rest(ResumeDelay.READ_MS);
+  synchronized void loadRejected(DataCentreId dataCentre, long queueWaitMs) {
+    if (waiting && !completed && search.loadRejected(dataCentre, queueWaitMs)) {
+      scheduleDispatch(ResumeDelay.READ_DELAY_MS);
     }
   }
 
-  /** Called when a coordinator is lost; loads that are queued there are lost with it. */
+  /** Called when a coordinator is disconnected; loads that are queued there are lost. */
   synchronized void coordinatorLost(DataCentreId dataCentre) {
-    if (waiting && !over && search.lost(dataCentre)) {
-      rest(ResumeDelay.READ_MS);
+    if (waiting && !completed && search.coordinatorLost(dataCentre)) {
+      scheduleDispatch(ResumeDelay.READ_DELAY_MS);
     }
   }
 
@@ -170,35 +177,33 @@
     stopWaiting();
     long now = context.clock().millis();
     long remainingMs = deadlineAt - now;
-    if (remainingMs < LEAST_MS) {
-      giveUp();
+    if (remainingMs < MIN_REMAINING_MS) {
+      timeOut();
       return;
     }
-    search.closeOverdue(now);
+    search.excludeOverdue(now);
     Demand demand = new Demand(facts.generation(), Set.copyOf(avoid), remainingMs);
     Choice choice = group.choose(demand, loadable(), now);
     if (choice instanceof Choice.Send send) {
-      search.sent();
+      search.reset();
       send(send, demand, now);
     } else if (choice instanceof Choice.AwaitLoad load) {
-      search.found();
+      search.loadFound();
       await(WaitTimes.Kind.LOAD, now, load.waitMs() + 1);
     } else if (choice instanceof Choice.RequestLoad load) {
       requestLoad(load, demand, now);
     } else if (choice instanceof Choice.Refuse refusal) {
-      refuseOrFail(orFull(refusal));
+      refuseOrFail(preferOverloaded(refusal));
     }
   }
 
   private EndpointChooser.Loadable loadable() {
     return new EndpointChooser.Loadable(
-        search.open(context.adapters().loadable()), search.queueWaits());
+        search.candidates(context.adapters().loadable()), search.queueWaits());
   }
 
-  /**
-   * Where only full data centres are left, their answer says more than that there is no endpoint.
-   */
-  private Choice.Refuse orFull(Choice.Refuse refusal) {
+  /** Replaces NO_ENDPOINT if a data centre was full, since OVERLOADED is more specific. */
+  private Choice.Refuse preferOverloaded(Choice.Refuse refusal) {
     return refusal.kind() == ErrorKind.NO_ENDPOINT && search.retryAfterMs() > 0
         ? new Choice.Refuse(ErrorKind.OVERLOADED, search.retryAfterMs())
         : refusal;
@@ -214,11 +219,11 @@
     search.request(load, waitMs, now);
     boolean expired = load.waits() && waitMs == 0;
     if (expired || !context.adapters().requestLoad(load.dataCentre(), loadRequest)) {
-      search.close();
+      search.exclude();
       dispatch();
       return;
     }
-    await(WaitTimes.Kind.PLACE, now, load.another() ? COPY_PLACING_MS : search.overdueAt() - now);
+    await(WaitTimes.Kind.SLOT, now, load.another() ? COPY_WAIT_MS : search.overdueAt() - now);
   }
 
   private LoadRequest loadRequest(Choice.RequestLoad load, Demand demand, long waitMs, long now) {
@@ -234,21 +239,21 @@
     waits.begin(what, now);
     adapter.ifPresent(name -> context.waiting().add(name, this));
     waiting = true;
-    rest(waitMs);
+    scheduleDispatch(waitMs);
   }
 
-  private void rest(long ms) {
+  private void scheduleDispatch(long ms) {
     cancel(waitTimer);
     long dueAt = context.clock().millis() + ms;
-    waitTimer = context.loop().schedule(() -> rested(dueAt), ms, TimeUnit.MILLISECONDS);
+    waitTimer = context.loop().schedule(() -> waitTimerFired(dueAt), ms, TimeUnit.MILLISECONDS);
   }
 
-  private synchronized void rested(long dueAt) {
-    if (!waiting || over) {
+  private synchronized void waitTimerFired(long dueAt) {
+    if (!waiting || completed) {
       return;
     }
-    if (ResumeDelay.isAfterStandstill(dueAt, context.clock().millis())) {
-      rest(ResumeDelay.READ_MS);
+    if (ResumeDelay.isAfterPause(dueAt, context.clock().millis())) {
+      scheduleDispatch(ResumeDelay.READ_DELAY_MS);
     } else {
       dispatch();
     }
@@ -292,7 +297,7 @@
     awaitResponse(attempt, abandonMs);
   }
 
-  /** Waits for an endpoint's next event, where its silence can be recovered elsewhere. */
+  /** Watches for an endpoint's next event if another endpoint could replace it. */
   private void awaitResponse(RelayAttempt from, long abandonMs) {
     cancel(responseTimer);
     if (route.mayRepeat() && runs + 1 < route.maxAttempts()) {
@@ -305,16 +310,17 @@
     responseTimer =
         context
             .loop()
-            .schedule(() -> look(from, watch), watch.nextLookMs(now), TimeUnit.MILLISECONDS);
+            .schedule(
+                () -> checkResponse(from, watch), watch.nextCheckMs(now), TimeUnit.MILLISECONDS);
   }
 
-  /** Sends a request elsewhere whose endpoint sends nothing, or no longer says anything. */
-  private synchronized void look(RelayAttempt waitedFor, ResponseWatchdog watch) {
+  /** Fails over to another endpoint if this one has stopped responding. */
+  private synchronized void checkResponse(RelayAttempt waitedFor, ResponseWatchdog watch) {
     long now = context.clock().millis();
-    if (over || attempt != waitedFor || !mayGoOnAfter(runs + 1, now)) {
+    if (completed || attempt != waitedFor || !mayRetryAfter(runs + 1, now)) {
       return;
     }
-    if (watch.givesUp(waitedFor.ticket.endpointIsStalled(now), now)
+    if (watch.checkTimeout(waitedFor.ticket.endpointIsStalled(now), now)
         && failOver(waitedFor, now) == FailoverPolicy.Step.MOVE) {
       waitedFor.stream.cancel();
       broken(waitedFor, "silent");
@@ -339,10 +345,10 @@
     return step;
   }
 
-  /** Called at the beginning of an answer; returns what it proves. */
+  /** Called when status and headers of an answer arrive; returns the answer's class. */
   synchronized AnswerClass began(RelayAttempt from, int status, HttpHeaders headers) {
     AnswerClass answer = context.endpoints().classify(status, headers);
-    if (over || from != attempt) {
+    if (completed || from != attempt) {
       return answer;
     }
     if (answer == AnswerClass.SUCCESS) {
@@ -357,9 +363,9 @@
   }
 
   private void beginStream(int status, HttpHeaders headers) {
-    events.drop();
-    if (!answering) {
-      answering = true;
+    events.discardRemainder();
+    if (!responseStarted) {
+      responseStarted = true;
       context.metrics().time("sequoiapass_first_event_ms", sinceArrival());
       responder.begin(status, context.endpoints().answerHeaders(headers));
     }
@@ -369,16 +375,16 @@
     return route.streams();
   }
 
-  /** Passes on the whole events of a stream. */
+  /** Forwards the complete events of a stream. */
   synchronized void received(RelayAttempt from, byte[] part) {
-    if (over || from != attempt) {
+    if (completed || from != attempt) {
       return;
     }
-    byte[] whole = events.take(part);
+    byte[] complete = events.take(part);
     from.ticket.progress(context.clock().millis());
-    if (whole.length > 0) {
+    if (complete.length > 0) {
       times.event(context.clock().millis());
-      responder.write(whole);
+      responder.write(complete);
       awaitResponse(from, stallMs());
       if (!responder.writable()) {
         from.stream.pause();
@@ -390,42 +396,42 @@
     return route.gapTargetMs() * STALL_GAPS;
   }
 
-  private synchronized void callerReads() {
-    if (!over && attempt != null && attempt.stream != null) {
+  private synchronized void resumeStream() {
+    if (!completed && attempt != null && attempt.stream != null) {
       attempt.stream.resume();
     }
   }
 
-  /** Ends a stream that came whole. */
+  /** Ends a stream that is complete. */
   synchronized void streamEnded(RelayAttempt from) {
-    if (over || from != attempt) {
+    if (completed || from != attempt) {
       return;
     }
     from.ticket.ended(EndpointGroup.Ending.ANSWERED, context.clock().millis());
-    if (events.rest().length > 0) {
-      responder.write(events.rest());
+    if (events.remainder().length > 0) {
+      responder.write(events.remainder());
     }
     finish("answered", 0);
     responder.end();
   }
 
-  /** Passes on an answer that came whole. */
+  /** Forwards a complete answer, or retries after a failure. */
   synchronized void answered(
       RelayAttempt from, AnswerClass answer, int status, RelayAttempt.Body body) {
-    if (over || from != attempt) {
+    if (completed || from != attempt) {
       return;
     }
     long now = context.clock().millis();
     boolean success = answer == AnswerClass.SUCCESS;
     from.ticket.ended(success ? EndpointGroup.Ending.ANSWERED : EndpointGroup.Ending.FAILED, now);
     runs++;
-    if (!success && mayGoOn(now)) {
+    if (!success && mayRetry(now)) {
       avoid.add(from.ticket.endpoint());
       dispatch();
       return;
     }
-    if (answering) {
-      cut(ErrorKind.STREAM_SHORT, "resumption failed with " + status);
+    if (responseStarted) {
+      abort(ErrorKind.STREAM_SHORT, "resumption failed with " + status);
       return;
     }
     context.metrics().time("sequoiapass_answer_ms", sinceArrival());
@@ -433,33 +439,34 @@
     responder.respond(status, context.endpoints().answerHeaders(body.headers()), body.bytes());
   }
 
-  private boolean mayGoOn(long now) {
-    return mayGoOnAfter(runs, now);
+  private boolean mayRetry(long now) {
+    return mayRetryAfter(runs, now);
   }
 
-  private boolean mayGoOnAfter(int possibleRuns, long now) {
+  private boolean mayRetryAfter(int possibleRuns, long now) {
     return route.mayRepeat()
         && possibleRuns < route.maxAttempts()
         && sends < MAX_SENDS
-        && deadlineAt - now > LEAST_MS;
+        && deadlineAt - now > MIN_REMAINING_MS;
   }
 
-  /** Called when the endpoint did not run the request, and why. */
+  /** Called when the endpoint reports that it did not run the request. */
   synchronized void rejected(RelayAttempt from, AnswerClass answer) {
-    if (over || from != attempt) {
+    if (completed || from != attempt) {
       return;
     }
     long now = context.clock().millis();
     requestLog.notRun(from, answer);
     boolean busy = answer == AnswerClass.NOT_RUN_BUSY;
-    // An endpoint that calls itself full with half of its places free is not to be believed, and
-    // one that does not know the request's base model has started anew.
+    // An endpoint that reports itself full with half of its slots free is faulty, and one without
+    // the request's base model has restarted.
     boolean blame = busy ? from.ticket.wasHalfEmpty() : adapter.isEmpty();
     from.ticket.ended(blame ? EndpointGroup.Ending.FAILED : EndpointGroup.Ending.NO_BLAME, now);
     boolean early =
         !busy
             && adapter.isPresent()
-            && group.postpone(from.ticket.endpoint(), adapter.get(), now, now + EARLY_MS * sends);
+            && group.postpone(
+                from.ticket.endpoint(), adapter.get(), now, now + EARLY_RETRY_MS * sends);
     if (adapter.isPresent() && !busy) {
       context.adapters().missed(from.dataCentre, from.ticket.endpoint(), adapter.get(), early);
     }
@@ -472,9 +479,9 @@
     dispatch();
   }
 
-  /** Called when nothing of the request reached the endpoint. */
+  /** Called when no byte of the request reached the endpoint. */
   synchronized void unsent(RelayAttempt from, HttpFailure failure) {
-    if (over || from != attempt) {
+    if (completed || from != attempt) {
       return;
     }
     from.ticket.ended(EndpointGroup.Ending.FAILED, context.clock().millis());
@@ -483,9 +490,9 @@
     dispatch();
   }
 
-  /** Called when an answer will not come, or not whole, though the request may have run. */
+  /** Called when the answer is lost or incomplete although the request may have run. */
   synchronized void broken(RelayAttempt from, String reason) {
-    if (over || from != attempt) {
+    if (completed || from != attempt) {
       return;
     }
     long now = context.clock().millis();
@@ -493,23 +500,23 @@
     requestLog.lost("broken", from, reason, events.lastId());
     runs++;
     avoid.add(from.ticket.endpoint());
-    if (mayGoOn(now)) {
-      events.drop();
+    if (mayRetry(now)) {
+      events.discardRemainder();
       dispatch();
-    } else if (answering) {
-      cut(ErrorKind.STREAM_SHORT, reason);
+    } else if (responseStarted) {
+      abort(ErrorKind.STREAM_SHORT, reason);
     } else {
       fail(ErrorKind.ENDPOINT_LOST_AFTER_START);
     }
   }
 
-  private synchronized void deadline() {
-    if (!over) {
-      giveUp();
+  private synchronized void deadlinePassed() {
+    if (!completed) {
+      timeOut();
     }
   }
 
-  /** Gives up what an endpoint does for this request; no fault of the endpoint. */
+  /** Cancels the current attempt without counting it as a failure of the endpoint. */
   private void abandonAttempt() {
     if (attempt != null && attempt.stream != null) {
       attempt.stream.cancel();
@@ -517,10 +524,10 @@
     }
   }
 
-  private void giveUp() {
+  private void timeOut() {
     abandonAttempt();
-    if (answering) {
-      cut(ErrorKind.DEADLINE_PASSED_AFTER_START, "deadline");
+    if (responseStarted) {
+      abort(ErrorKind.DEADLINE_PASSED_AFTER_START, "deadline");
     } else if (mayHaveRun()) {
       fail(ErrorKind.DEADLINE_PASSED_AFTER_START);
     } else {
@@ -528,14 +535,14 @@
     }
   }
 
-  /** An attempt that is still open may run; one that ended is counted by what it proved. */
+  /** An open attempt may have run; ended attempts that may have run are counted in runs. */
   private boolean mayHaveRun() {
-    return runs > 0 || (attempt != null && !attempt.isOver());
+    return runs > 0 || (attempt != null && !attempt.isCompleted());
   }
 
   private void refuseOrFail(Choice.Refuse refusal) {
-    if (answering) {
-      cut(ErrorKind.STREAM_SHORT, "no other endpoint");
+    if (responseStarted) {
+      abort(ErrorKind.STREAM_SHORT, "no other endpoint");
     } else if (runs > 0) {
       fail(ErrorKind.ENDPOINT_LOST_AFTER_START);
     } else {
@@ -553,14 +560,14 @@
     LocalResponse.send(context.callers(), facts, responder, kind, OptionalLong.empty());
   }
 
-  /** Ends a stream so that it does not look whole. */
-  private void cut(ErrorKind kind, String reason) {
+  /** Aborts a stream, so that the caller does not take it for complete. */
+  private void abort(ErrorKind kind, String reason) {
     finish("cut_" + kind + "_" + reason, 0);
     responder.abort();
   }
 
   private synchronized void callerLeft() {
-    if (over) {
+    if (completed) {
       return;
     }
     abandonAttempt();
@@ -568,7 +575,7 @@
   }
 
   private void finish(String outcome, int status) {
-    over = true;
+    completed = true;
     stopWaiting();
     cancel(deadlineTimer);
     cancel(responseTimer);
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/RequestLog.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/RequestLog.java
@@ -25,7 +25,7 @@
         facts.generation().flatMap(Generation::adapter).map(AdapterName::toString).orElse("");
   }
 
-  /** The request goes to an endpoint, chosen by what is known of it. */
+  /** Logs that the request is sent, with the estimates that the choice of the endpoint rests on. */
   void sent(Choice.Send choice, int send, long waitedMs, long leftMs) {
     Candidate candidate = choice.candidate();
     context
@@ -47,7 +47,7 @@
         .write();
   }
 
-  /** The endpoint says that it did not run the request. */
+  /** Logs that the endpoint reports that it did not run the request. */
   void notRun(RelayAttempt from, AnswerClass answer) {
     context
         .log()
@@ -58,7 +58,7 @@
         .write();
   }
 
-  /** The endpoint was lost; whether it ran the request is in the event's name. */
+  /** Logs that the endpoint was lost; the event's name states whether the request may have run. */
   void lost(String event, RelayAttempt from, String reason, long lastEvent) {
     context
         .log()
@@ -71,16 +71,16 @@
   }
 
   /**
-   * How long a request took.
+   * The durations of a request.
    *
    * @param tookMs from its arrival to its end, in milliseconds
-   * @param firstMs from its arrival to the first event; negative if there was none
-   * @param pauseMs the longest pause between two events
-   * @param waits what it waited for before it was sent
+   * @param firstMs from its arrival to the first event, in milliseconds; negative if there was none
+   * @param pauseMs the longest pause between two events, in milliseconds
+   * @param waits how long it waited before it was sent, by reason
    */
   record Times(long tookMs, long firstMs, long pauseMs, WaitTimes waits) {}
 
-  /** The request has ended. */
+  /** Logs the end of the request. */
   void ended(String outcome, int status, Times times, int sends, int runs, long lastEvent) {
     String label = outcome.startsWith("cut_") ? "cut" : outcome;
     context.metrics().count("sequoiapass_requests_total{outcome=\"" + label + "\"}");
@@ -96,7 +96,7 @@
         .with("pause_ms", times.pauseMs())
         .with("target_ms", route.targetMs())
         .with("gap_ms", route.gapTargetMs())
-        .with("slot_wait_ms", times.waits().of(WaitTimes.Kind.PLACE))
+        .with("slot_wait_ms", times.waits().of(WaitTimes.Kind.SLOT))
         .with("load_ms", times.waits().of(WaitTimes.Kind.LOAD))
         .with("sends", sends)
         .with("runs", runs)
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/ResponseTimes.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/ResponseTimes.java
@@ -9,7 +9,7 @@
   private long longestPauseMs;
 
   /**
-   * Begins with no events.
+   * Creates an instance without events.
    *
    * @param arrivedAt when the request arrived, in milliseconds
    */
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/ResponseWatchdog.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/ResponseWatchdog.java
@@ -1,48 +1,48 @@
 package io.sequoiapass.gateway.request;
 
 /**
- * Decides when to give up an endpoint that sends nothing for a request.
+ * Detects that an endpoint has stopped responding to a request.
  *
- * <p>An endpoint that is stalled on all streams is given up early, otherwise the timeout applies. A
- * stall is confirmed by a second check, because after a pause of this process received data may
- * still be unread. Not safe for use by several threads.
+ * <p>If the endpoint is stalled on all its streams, the request times out early; otherwise the
+ * timeout applies. A stall is confirmed by a second check, because after a pause of this process
+ * received data may still be unread. Not safe for use by several threads.
  */
 final class ResponseWatchdog {
 
-  /** Pause between two looks, in milliseconds. */
-  private static final long LOOK_MS = 250;
+  /** Interval between two checks, in milliseconds. */
+  private static final long CHECK_INTERVAL_MS = 250;
 
-  /** What came in during a standstill has been read after this time, in milliseconds. */
-  private static final long CONFIRM_MS = 50;
+  /** Delay after which data received during a process pause has been read, in milliseconds. */
+  private static final long CONFIRM_DELAY_MS = 50;
 
-  private final long until;
+  private final long timeoutAt;
   private boolean suspected;
 
   /**
-   * Begins to watch.
+   * Starts the timeout.
    *
    * @param now the time, in milliseconds
-   * @param abandonMs how long the endpoint may send nothing, in milliseconds
+   * @param timeoutMs how long the endpoint may send nothing, in milliseconds
    */
-  ResponseWatchdog(long now, long abandonMs) {
-    until = now + abandonMs;
+  ResponseWatchdog(long now, long timeoutMs) {
+    timeoutAt = now + timeoutMs;
   }
 
   /**
-   * Looks whether the endpoint is to be given up.
+   * Returns whether the request has timed out; called at each check.
    *
-   * @param endpointIsStalled whether it sends nothing to anybody
+   * @param endpointIsStalled whether the endpoint sends nothing on any stream
    * @param now the time, in milliseconds
    */
-  boolean givesUp(boolean endpointIsStalled, long now) {
+  boolean checkTimeout(boolean endpointIsStalled, long now) {
     boolean confirmed = suspected && endpointIsStalled;
     suspected = endpointIsStalled;
-    return confirmed || now >= until;
+    return confirmed || now >= timeoutAt;
   }
 
-  /** Returns when to look again, in milliseconds from now. */
-  long nextLookMs(long now) {
-    long leftMs = until > now ? until - now : CONFIRM_MS;
-    return Math.min(suspected ? CONFIRM_MS : LOOK_MS, leftMs);
+  /** Returns the delay until the next check, in milliseconds. */
+  long nextCheckMs(long now) {
+    long leftMs = timeoutAt > now ? timeoutAt - now : CONFIRM_DELAY_MS;
+    return Math.min(suspected ? CONFIRM_DELAY_MS : CHECK_INTERVAL_MS, leftMs);
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/WaitTimes.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/WaitTimes.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * Adds up how long a request has waited for what; used under the request's lock.
+ * Sums the time that a request has waited, by reason; used under the request's lock.
  *
  * <p>Not safe for use by several threads.
  */
 final class WaitTimes {
 
-  /** What a request waits for. */
+  /** The reason of a wait. */
   enum Kind {
-    /** A place for its adapter at an engine, and the order to load it. */
-    PLACE,
-    /** Its adapter, which is on its way. */
+    /** A slot for its adapter at an engine, and the order to load it. */
+    SLOT,
+    /** Its adapter, which is loading. */
     LOAD
   }
 
@@ -22,14 +22,14 @@
   private Kind current;
   private long since;
 
-  /** Begins to wait. */
+  /** Starts a wait; ends the current one. */
   void begin(Kind kind, long now) {
     end(now);
     current = kind;
     since = now;
   }
 
-  /** Ends waiting, if it does wait. */
+  /** Ends the current wait, if there is one. */
   void end(long now) {
     if (current != null) {
       times.merge(current, now - since, Long::sum);
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Returns how long it has waited, in milliseconds. */
+  /** Returns the total time waited for a reason, in milliseconds. */
   long of(Kind kind) {
     return times.getOrDefault(kind, 0L);
   }
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/package-info.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/package-info.java
@@ -1,2 +1,2 @@
-/** What lives for one request: its way to an endpoint and its answer's way back. */
+/** State of one request: choosing an endpoint, forwarding the request and relaying the answer. */
 package io.sequoiapass.gateway.request;
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/AnswerClass.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/AnswerClass.java
@@ -1,16 +1,19 @@
 package io.sequoiapass.gateway.spi;
 
-/** Sorts the first line and headers of an endpoint's answer by what they prove. */
+/** Classifies an endpoint's answer, by status and headers, by what it proves about the run. */
 public enum AnswerClass {
-  /** A success that bears the endpoint's mark. */
+  /** A success that bears the endpoint's stamp. */
   SUCCESS,
-  /** A failure of the run, by the endpoint itself. */
+  /** The endpoint ran the request and reports a failure. */
   RAN_AND_FAILED,
-  /** The endpoint did not run the request: it is full, or the adapter is on its way. */
+  /** The endpoint did not run the request: it is full, or the adapter is loading. */
   NOT_RUN_BUSY,
-  /** The endpoint did not run the request: it is another one, or holds no such adapter version. */
+  /**
+   * The endpoint did not run the request: it is not the addressed one, or does not hold the adapter
+   * version.
+   */
   NOT_RUN_ELSEWHERE,
-  /** Not an answer that the endpoint would give; the request may have run. */
+  /** The answer does not come from the endpoint, or may be altered; the request may have run. */
   UNTRUSTED;
 
   /** Returns whether the answer proves that the request did not run. */
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/CallerFacts.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/CallerFacts.java
@@ -5,12 +5,12 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller says in the headers of its request.
+ * What the headers of a caller's request state.
  *
- * @param requestId names the attempt; empty if the caller gave none
- * @param deadlineMs how long the caller waits, in milliseconds; empty if it does not say
- * @param generation what is to be generated; empty for plain services
- * @param lastEventId the last event of a broken stream that the caller wants to go on
+ * @param requestId the caller's id of the request; empty if it gave none
+ * @param deadlineMs how long the caller waits, in milliseconds; empty if not stated
+ * @param generation the generation request; empty for plain services
+ * @param lastEventId the last event that the caller received of a stream that it resumes
  */
 public record CallerFacts(
     String requestId,
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/CallerProtocol.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/CallerProtocol.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** The names that callers speak; implementations are safe for use by several threads. */
+/** The wire protocol of the callers; implementations are safe for use by several threads. */
 public interface CallerProtocol {
 
   /**
-   * Reads what a caller says about its request. A header that cannot be read counts as absent: it
-   * only guides where the request goes, and the endpoint judges it by itself.
+   * Decodes the headers of a caller's request. A malformed header counts as absent: it only guides
+   * routing, and the endpoint validates it itself.
    *
    * @param request the request
    */
   CallerFacts read(HttpRequestMessage request);
 
   /**
-   * Returns the headers of an answer of our own.
+   * Returns the headers of a response that this daemon generates.
    *
-   * @param requestId the caller's name of the request; empty text if unknown
-   * @param retryAfterMs when the caller is to come back, in milliseconds; empty for no advice
+   * @param requestId the caller's id of the request; empty string if unknown
+   * @param retryAfterMs when the caller may retry, in milliseconds; empty to omit the advice
    */
   Map<String, String> ownHeaders(String requestId, OptionalLong retryAfterMs);
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/CoordinatorLease.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/CoordinatorLease.java
@@ -5,17 +5,17 @@
 import java.util.Objects;
 
 /**
- * Names the daemon that alone gives orders to the endpoints of one data centre.
+ * The lease of one data centre's coordinator, the only daemon that gives orders to its endpoints.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param holder the daemon
- * @param process names the daemon's process, so that a restarted daemon does not take its former
- *     process's lease for its own
- * @param address where its links listen
- * @param epoch grows with each change of the holder; orders carry it as their fencing number
- * @param renewals grows with each renewal, so that each one changes the object
- * @param released whether the holder gave the lease up
+ * @param holder the daemon that holds the lease
+ * @param process the id of the daemon's process, so that a restarted daemon does not take the lease
+ *     of its previous process for its own
+ * @param address where it listens for links of other daemons
+ * @param epoch increases with each change of the holder; orders carry it as their fencing number
+ * @param renewals number of renewals; makes each renewal a change of the stored object
+ * @param released whether the holder has released the lease
  */
 public record CoordinatorLease(
     DaemonId holder,
@@ -25,19 +25,19 @@
     long renewals,
     boolean released) {
 
-  /** Checks that nothing is missing. */
+  /** Checks that no component is null. */
   public CoordinatorLease {
     Objects.requireNonNull(holder, "holder");
     Objects.requireNonNull(process, "process");
     Objects.requireNonNull(address, "address");
   }
 
-  /** Returns the lease as its holder renews it. */
+  /** Returns the renewed lease. */
   public CoordinatorLease renewed() {
     return new CoordinatorLease(holder, process, address, epoch, renewals + 1, false);
   }
 
-  /** Returns the lease as its holder gives it up. */
+  /** Returns the released lease. */
   public CoordinatorLease givenUp() {
     return new CoordinatorLease(holder, process, address, epoch, renewals + 1, true);
   }
@@ -45,7 +45,7 @@
   /**
    * Returns whether a process holds it.
    *
-   * @param candidate the process's name
+   * @param candidate the id of the process
    */
   public boolean isHeldBy(String candidate) {
     return !released && process.equals(candidate);
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointEntry.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointEntry.java
@@ -12,18 +12,18 @@
 import java.util.stream.Collectors;
 
 /**
- * What an endpoint says of itself in the platform's list.
+ * An endpoint's own entry in the platform's endpoint list.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param endpoint its name
- * @param service the service that it belongs to
+ * @param service the service to which it belongs
  * @param address where it listens
  * @param dataCentre where it runs
- * @param slots requests that it runs at once
- * @param leaving whether it takes no new work
- * @param bornMs when its process started, in milliseconds since 1970; 0 if it does not say. The
- *     same name with another start holds and knows nothing of before
+ * @param slots requests that it runs concurrently
+ * @param leaving whether it is draining and takes no new work
+ * @param bornMs when its process started, in milliseconds since 1970; 0 if not stated. An endpoint
+ *     of the same name with another start time has lost all state
  * @param models the base models that it holds
  */
 public record EndpointEntry(
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Returns whether another entry of the endpoint says the same of how it serves, adapters left
-   * out: those follow orders, and who gives them knows them sooner.
+   * Returns whether another entry of the endpoint is equal except for the adapters. Adapters follow
+   * the coordinator's orders, and the coordinator has a newer record of them.
    *
    * @param other the other entry
    */
@@ -66,7 +66,7 @@
    *
    * @param model its name
    * @param version the version of its weights
-   * @param adapters the adapters beside it, with their versions
+   * @param adapters the adapters of the base model that it holds, with their versions
    */
   public record HeldModel(ModelId model, long version, Map<AdapterId, Long> adapters) {
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointOrder.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointOrder.java
@@ -12,15 +12,15 @@
  * An order to one endpoint.
  *
  * @param type what to do
- * @param endpoint the endpoint that is meant
+ * @param endpoint the addressed endpoint
  * @param address where it listens
  * @param model the base model
  * @param adapter the adapter; empty for the base model itself
  * @param version the adapter's version; empty for the newest
  * @param holder the daemon that gives the order
  * @param epoch the fencing number
- * @param expectedSequence the number of accepted orders at which alone the order may be taken; a
- *     late copy of an order finds a higher one and is refused
+ * @param expectedSequence the number of orders that the endpoint must have accepted before; a
+ *     delayed duplicate of an order finds a higher number and is rejected
  */
 public record EndpointOrder(
     Type type,
@@ -33,11 +33,11 @@
     long epoch,
     long expectedSequence) {
 
-  /** Names the orders. */
+  /** The types of orders. */
   public enum Type {
     /** Loads or replaces a base model or an adapter. */
     LOAD,
-    /** Drops a base model or an adapter. */
+    /** Unloads a base model or an adapter. */
     UNLOAD
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointProtocol.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointProtocol.java
@@ -8,22 +8,22 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The names that endpoints speak; implementations are safe for use by several threads. */
+/** The wire protocol of the endpoints; implementations are safe for use by several threads. */
 public interface EndpointProtocol {
 
   /** Returns the header that endpoints repeat in their answers. */
   String echoedHeader();
 
   /**
-   * Returns the headers of a caller's request as they go to an endpoint.
+   * Returns the headers with which a caller's request is sent to an endpoint.
    *
    * @param callerHeaders what the caller sent
-   * @param terms what is added to the caller's request
+   * @param terms what is sent in addition to the caller's request
    */
   Map<String, String> forwardHeaders(HttpHeaders callerHeaders, ForwardTerms terms);
 
   /**
-   * Returns what the beginning of an answer proves.
+   * Classifies an answer by its status and headers.
    *
    * @param status the status
    * @param headers the headers
@@ -31,36 +31,36 @@
   AnswerClass classify(int status, HttpHeaders headers);
 
   /**
-   * Returns the headers of an endpoint's answer as they go to the caller.
+   * Returns the headers with which an endpoint's answer is sent to the caller.
    *
    * @param headers what the endpoint sent
    */
   Map<String, String> answerHeaders(HttpHeaders headers);
 
   /**
-   * Returns the call that gives an order.
+   * Returns the call that sends an order.
    *
    * @param order the order
    */
   HttpCall orderCall(EndpointOrder order);
 
   /**
-   * Returns what an endpoint made of an order.
+   * Returns the result of an order.
    *
    * @param answer its answer
    */
   OrderResult orderResult(HttpAnswer answer);
 
   /**
-   * Returns the call that asks an endpoint about itself.
+   * Returns the call that requests an endpoint's report.
    *
-   * @param endpoint the endpoint that is meant; any other refuses
+   * @param endpoint the addressed endpoint; any other rejects the call
    * @param address where it listens
    */
   HttpCall reportCall(EndpointId endpoint, InetSocketAddress address);
 
   /**
-   * Reads what an endpoint says of itself; empty if the answer cannot be read.
+   * Decodes an endpoint's report; empty if the answer is malformed.
    *
    * @param answer its answer
    */
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointReport.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointReport.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * What an endpoint answers about itself when asked; the values are some hundred milliseconds old.
+ * An endpoint's report of its own state; the values are some hundred milliseconds old.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param models the base models that it holds
- * @param coming adapters that are on their way to it, with their versions
- * @param busy whether it carries an order out
- * @param sequence orders that it has accepted
+ * @param coming adapters that it is loading, with their versions
+ * @param busy whether it is executing an order
+ * @param sequence number of orders that it has accepted
  */
 public record EndpointReport(
     List<EndpointEntry.HeldModel> models,
@@ -20,7 +20,7 @@
     boolean busy,
     long sequence) {
 
-  /** Copies the lists. */
+  /** Copies the collections. */
   public EndpointReport {
     models = List.copyOf(models);
     coming = Map.copyOf(coming);
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/ForwardTerms.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/ForwardTerms.java
@@ -4,13 +4,14 @@
 import java.util.OptionalLong;
 
 /**
- * What is sent to an endpoint beside the caller's own request.
+ * What is sent to an endpoint in addition to the caller's request.
  *
- * @param endpoint the endpoint that is meant; any other refuses
+ * @param endpoint the addressed endpoint; any other rejects the request
  * @param remainingMs how long the caller still waits, in milliseconds
- * @param priority the rank, 0 first
- * @param expectedVersion the adapter version that it has to have; empty if any will do
- * @param lastEventId the event after which the stream goes on; empty if it begins anew
+ * @param priority the priority; 0 is the highest
+ * @param expectedVersion the adapter version that the endpoint must hold; empty for any
+ * @param lastEventId the event after which the stream resumes; empty if it starts from the
+ *     beginning
  */
 public record ForwardTerms(
     EndpointId endpoint,
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/HostSettings.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/HostSettings.java
@@ -7,19 +7,19 @@
 import java.util.Objects;
 
 /**
- * Holds the checked settings of one daemon on its host.
+ * The validated settings of one daemon.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param daemon the daemon's name
  * @param dataCentre where it runs
  * @param regions the region of each data centre
- * @param callers where callers connect
- * @param readiness where the load balancer asks whether the daemon takes connections
- * @param links where other daemons connect
- * @param store where the platform's store listens
- * @param cores processor cores to use
- * @param bounds what the operators promise and ask for
+ * @param callers the address for callers
+ * @param readiness the address of the load balancer's readiness check
+ * @param links the address for other daemons
+ * @param store the address of the platform's store
+ * @param cores number of processor cores to use
+ * @param bounds times and limits that the deployment sets
  */
 public record HostSettings(
     DaemonId daemon,
@@ -32,7 +32,7 @@
     int cores,
     Bounds bounds) {
 
-  /** Checks that nothing is missing. */
+  /** Checks that no name is null and that there is at least one core. */
   public HostSettings {
     Objects.requireNonNull(daemon, "daemon");
     Objects.requireNonNull(dataCentre, "dataCentre");
@@ -43,17 +43,18 @@
   }
 
   /**
-   * The times and shares that the deployment sets.
+   * Times and limits that the deployment sets.
    *
-   * @param graceMs from the signal to stop until the process is killed, in milliseconds
-   * @param drainMs how long an endpoint that leaves still serves, in milliseconds
-   * @param leaseMs the shortest time between orders of two holders, in milliseconds
+   * @param graceMs time from the stop signal until the process is killed, in milliseconds
+   * @param drainMs how long a leaving endpoint still serves, in milliseconds
+   * @param leaseMs the shortest time between the orders of two successive lease holders, in
+   *     milliseconds
    * @param versionMs the time after which no request may begin on an older adapter version
-   * @param retryRatio repeats that are allowed for each request of a service, over all daemons
-   * @param retrySlack repeats that are allowed in a window besides
-   * @param retryWindowMs the window over which repeats are counted, in milliseconds
+   * @param retryRatio retries allowed for each request of a service, over all daemons
+   * @param retrySlack retries allowed in a window in addition to the ratio
+   * @param retryWindowMs the window over which retries are counted, in milliseconds
    * @param loadWindowMs the window over which loads of base models are counted, in milliseconds
-   * @param fenced whether endpoints refuse orders with an old epoch number
+   * @param fenced whether endpoints reject orders with an outdated fencing number
    */
   public record Bounds(
       long graceMs,
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/MetadataStore.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/MetadataStore.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reads, watches and writes the platform's store. Reads end with a {@link StoreException} as their
- * cause when there is no answer; writes always end with a {@link WriteResult}.
+ * Reads, watches and writes the platform's store. A failed read completes exceptionally with a
+ * {@link StoreException} as its cause; a write always completes with a {@link WriteResult}.
  *
  * <p>Implementations are safe for use by several threads.
  */
@@ -22,18 +22,18 @@
    * Waits for changes.
    *
    * @param kind the kind
-   * @param after the revision after which changes are wanted
+   * @param after the revision after which changes are returned
    * @param waitMs how long the store may hold the call while nothing changes, in milliseconds
    */
   <T> CompletableFuture<StoreChanges<T>> watch(StoreKind<T> kind, long after, long waitMs);
 
   /**
-   * Writes one object under a condition.
+   * Writes one object if it has the expected revision.
    *
    * @param kind the kind
    * @param name the object's name
    * @param value its new value
-   * @param expected the revision that it must have; empty if it must not exist
+   * @param expected the revision that the object must have; empty if it must not exist
    */
   <T> CompletableFuture<WriteResult<T>> write(
       StoreKind<T> kind, String name, T value, OptionalLong expected);
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/OrderResult.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/OrderResult.java
@@ -1,19 +1,19 @@
 package io.sequoiapass.gateway.spi;
 
-/** What an endpoint made of an order. */
+/** The result of an order to an endpoint. */
 public enum OrderResult {
-  /** It is being carried out. */
+  /** The order is in progress. */
   ACCEPTED,
-  /** It is done, or held before. */
+  /** The order is done, or the endpoint was in the requested state already. */
   DONE,
-  /** Another order is under way, or the sequence differs; nothing was done. */
+  /** Another order is in progress, or the sequence differs; nothing was done. */
   CONFLICT,
-  /** The endpoint has seen a higher fencing number; nothing was done. */
+  /** The endpoint has received a higher fencing number; nothing was done. */
   FENCED,
   /** Another endpoint answers at the address; nothing was done. */
   WRONG_ENDPOINT,
-  /** The endpoint refused the order for another reason; nothing was done. */
+  /** The endpoint rejected the order for another reason; nothing was done. */
   REFUSED,
-  /** No answer came: the order may have been accepted, or may be later. */
+  /** No answer was received: the order may have been accepted, or may be accepted later. */
   UNKNOWN
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/SettingsException.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/SettingsException.java
@@ -1,14 +1,14 @@
 package io.sequoiapass.gateway.spi;
 
-/** Names the setting that is missing or wrong, for the operator. */
+/** Thrown if a setting is missing or invalid; the message names the setting. */
 public final class SettingsException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes an exception.
+   * Creates an exception.
    *
-   * @param message names the setting, its value and what is allowed
+   * @param message the setting, its value and the allowed values
    */
   public SettingsException(String message) {
     super(message);
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/StoreChanges.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/StoreChanges.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What changed after a revision of the store.
+ * The changes after a revision of the store.
  *
- * @param revision the revision up to which the changes are reported
- * @param changes the changes in their order
+ * @param revision the revision up to which changes are included
+ * @param changes the changes in order
  * @param <T> the type of the objects' values
  */
 public record StoreChanges<T>(long revision, List<Change<T>> changes) {
@@ -19,7 +19,7 @@
   /**
    * One change.
    *
-   * @param object the object after the change, or as it was before it was removed
+   * @param object the object after the change, or before its removal
    * @param removed whether the object was removed
    * @param <T> the type of the object's value
    */
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/StoreException.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/StoreException.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.gateway.spi;
 
-/** Says why a read of the platform's store gave no answer. */
+/** Thrown if a read of the platform's store fails. */
 public final class StoreException extends Exception {
 
-  /** Names the reasons. */
+  /** The reason of the failure. */
   public enum Reason {
-    /** The history after the asked revision is gone; list again. */
+    /** The store has compacted the history after the requested revision; list again. */
     HISTORY_GONE,
-    /** The store refused the call and did nothing. */
+    /** The store rejected the call and did nothing. */
     REFUSED,
-    /** No answer came, or none that can be read. */
+    /** No answer was received, or it was malformed. */
     NO_ANSWER
   }
 
@@ -18,7 +18,7 @@
   private final Reason reason;
 
   /**
-   * Makes an exception.
+   * Creates an exception.
    *
    * @param reason the reason
    * @param message details for a log line
@@ -34,7 +34,8 @@
   }
 
   /**
-   * Returns the reason of a failed read, however it was wrapped on its way.
+   * Returns the reason of a failed read, searching the chain of causes; {@link Reason#NO_ANSWER} if
+   * it has none.
    *
    * @param failure the failure
    */
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/StoreKind.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/StoreKind.java
@@ -4,17 +4,17 @@
 import io.sequoiapass.gateway.version.ServingConfiguration;
 
 /**
- * Names a kind of objects in the platform's store, with the type of their values.
+ * A kind of objects in the platform's store, with the type of their values.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param name for logs
+ * @param name the name in logs
  * @param type the type of the values
  * @param <T> the type of the values
  */
 public record StoreKind<T>(String name, Class<T> type) {
 
-  /** The operators' configuration: one object. */
+  /** The operators' configuration; a single object. */
   public static final StoreKind<ServingConfiguration> CONFIGURATION =
       new StoreKind<>("configuration", ServingConfiguration.class);
 
@@ -26,7 +26,7 @@
   public static final StoreKind<AdapterRelease> RELEASES =
       new StoreKind<>("releases", AdapterRelease.class);
 
-  /** The leases of coordinators: one object a data centre, our own. */
+  /** The leases of coordinators: one object for each data centre, written by this system. */
   public static final StoreKind<CoordinatorLease> LEASES =
       new StoreKind<>("leases", CoordinatorLease.class);
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/WriteResult.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/WriteResult.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * What became of a conditional write.
+ * The result of a conditional write.
  *
  * @param <T> the type of the object's value
  */
@@ -18,15 +18,15 @@
   record Written<T>(long revision) implements WriteResult<T> {}
 
   /**
-   * The object was not as expected, and nothing was written.
+   * The object did not have the expected revision, and nothing was written.
    *
-   * @param current the object as it is; empty if the answer does not contain it
+   * @param current the stored object; empty if the answer does not contain it
    * @param <T> the type of the value
    */
   record Conflict<T>(Optional<Stored<T>> current) implements WriteResult<T> {}
 
   /**
-   * The store refused the call and did nothing.
+   * The store rejected the call and did nothing.
    *
    * @param status the answer's status
    * @param <T> the type of the value
@@ -34,7 +34,8 @@
   record Refused<T>(int status) implements WriteResult<T> {}
 
   /**
-   * No answer came: the write may have been carried out, or may be later if its condition holds.
+   * No answer was received: the write may have been carried out, or may still be if its condition
+   * holds.
    *
    * @param <T> the type of the value
    */
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/package-info.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/package-info.java
@@ -1,2 +1,2 @@
-/** What a deployment provides: settings, names, formats and calls. It decides nothing. */
+/** Interfaces that a deployment implements: settings, protocols and the store. No policy. */
 package io.sequoiapass.gateway.spi;
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/AdapterName.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/AdapterName.java
@@ -4,7 +4,7 @@
 import io.sequoiapass.coordination.ModelId;
 
 /**
- * Names one adapter together with the base model that it refines.
+ * The name of an adapter, qualified by its base model.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/AdapterVersions.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/AdapterVersions.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Knows the newest version of each adapter that was announced, and whether an older copy may still
- * begin requests.
+ * Tracks the newest announced version of each adapter, and whether an older copy may still start
+ * requests.
  *
  * <pre>{@code
  * versions.announce(name, 3, now);
  * boolean usable = versions.isUsable(name, 2, now);
  * }</pre>
  *
- * <p>An older copy stays usable for a while after the announcement, so that the copies of a busy
- * adapter can be replaced one after the other and no request waits. Safe for use by several
+ * <p>An older copy stays usable for a grace period after the announcement, so that the copies of a
+ * busy adapter can be replaced one after the other and no request waits. Safe for use by several
  * threads.
  */
 public final class AdapterVersions {
@@ -26,22 +26,22 @@
   private final long graceMs;
 
   /**
-   * Knows no versions yet.
+   * Creates an instance without announced versions.
    *
    * @param graceMs how long an older copy stays usable after an announcement, in milliseconds; well
-   *     below the time after which none may begin a request
+   *     below the limit after which no request may start on an older copy
    */
   public AdapterVersions(long graceMs) {
     this.graceMs = graceMs;
   }
 
   /**
-   * Takes note of a version; one that is older than a known one changes nothing.
+   * Records a version; one that is not newer than the recorded one is ignored.
    *
    * @param name the adapter
    * @param version the version
    * @param now the time, in milliseconds
-   * @return whether it is newer than what was known
+   * @return whether it is newer than the recorded version
    */
   public boolean announce(AdapterName name, long version, long now) {
     Release known = releases.get(name);
@@ -52,7 +52,7 @@
     return true;
   }
 
-  /** Returns the newest version of each adapter that was announced. */
+  /** Returns the newest version of each announced adapter. */
   public Map<AdapterName, Long> all() {
     Map<AdapterName, Long> all = new HashMap<>();
     releases.forEach((name, release) -> all.put(name, release.version()));
@@ -60,7 +60,7 @@
   }
 
   /**
-   * Returns the newest version.
+   * Returns the newest version of an adapter; {@link #FIRST} if none was announced.
    *
    * @param name the adapter
    */
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Returns whether a copy may begin a request.
+   * Returns whether a copy may start a request.
    *
    * @param name the adapter
    * @param version the copy's version
@@ -82,7 +82,8 @@
   }
 
   /**
-   * Returns whether an older copy has to be refused by the endpoint, too.
+   * Returns whether the grace period has elapsed, so that the endpoint has to reject older copies,
+   * too.
    *
    * @param name the adapter
    * @param now the time, in milliseconds
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/EngineSpec.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/EngineSpec.java
@@ -9,11 +9,12 @@
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param slots requests that an engine runs at once
- * @param kvTokens tokens that an engine's memory holds, for running requests and kept prompts
+ * @param slots requests that an engine runs concurrently
+ * @param kvTokens capacity of an engine's key-value cache, for running requests and cached prompts,
+ *     in tokens
  * @param weightsMb memory of an engine for weights, in megabytes
- * @param adapterSlots adapters that an engine holds at once, those under way included
- * @param loadsPerSecond loads of base models that the weight store allows over all engines
+ * @param adapterSlots adapters that an engine holds, those that are loading included
+ * @param loadsPerSecond loads of base models that the weight store allows, over all engines
  * @param models the base models
  */
 public record EngineSpec(
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/ModelSpec.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/ModelSpec.java
@@ -10,8 +10,8 @@
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param model its name
- * @param weightsMb memory that its weights take, in megabytes
+ * @param weightsMb memory of its weights, in megabytes
  * @param loadMs how long a load from the weight store takes, in milliseconds
- * @param knows whether an adapter of this model exists
+ * @param knows tests whether an adapter of this model exists
  */
 public record ModelSpec(ModelId model, double weightsMb, long loadMs, Predicate<AdapterId> knows) {}
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/RequestKind.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/RequestKind.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.gateway.version;
 
-/** Reports what may be repeated of the requests of a route. */
+/** The kind of a route's requests, which decides whether they may be repeated. */
 public enum RequestKind {
   /** May run more than once. */
   IDEMPOTENT {
@@ -9,14 +9,14 @@
       return true;
     }
   },
-  /** May run once at most. */
+  /** May run at most once. */
   NON_IDEMPOTENT {
     @Override
     public boolean mayRepeat(boolean resumable) {
       return false;
     }
   },
-  /** Answered by a stream of events; may be repeated only where a stream may be resumed. */
+  /** Answered by an event stream; may be repeated only if the route's streams may be resumed. */
   STREAMING {
     @Override
     public boolean mayRepeat(boolean resumable) {
@@ -25,7 +25,7 @@
   };
 
   /**
-   * Returns whether a request that may have run may be sent once more.
+   * Returns whether a request that may have run may be sent again.
    *
    * @param resumable whether the route's streams may be resumed
    */
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/RouteSpec.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/RouteSpec.java
@@ -5,22 +5,22 @@
 import java.util.Objects;
 
 /**
- * Describes one route: which requests it takes, who answers them, and within what bounds.
+ * Describes one route: the requests that it matches, the services that answer them, and its limits.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param name the route's name
- * @param host the host name that callers ask for, in lower case
- * @param pathPrefix what the path begins with; begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMs the longest time that a caller is kept waiting, in milliseconds
- * @param targetMs the time within which an answer, or a stream's first event, is wanted
- * @param gapTargetMs the longest pause between two events that is wanted, in milliseconds
- * @param priority the rank, 0 first
+ * @param host the host name of the requests, in lower case
+ * @param pathPrefix the prefix of the path; starts and ends with a slash
+ * @param kind decides which requests may be repeated
+ * @param timeoutMs the longest deadline of a request, in milliseconds
+ * @param targetMs the target latency of an answer, or of a stream's first event, in milliseconds
+ * @param gapTargetMs the target for the longest pause between two events, in milliseconds
+ * @param priority the priority; 0 is the highest
  * @param targets the services that share the requests; not empty
- * @param maxAttempts the most endpoints that one request may be sent to
- * @param resumable whether a broken stream may go on at another endpoint
- * @param abandonMs how long callers wait for the beginning of an answer, in milliseconds
+ * @param maxAttempts the maximum number of attempts of one request that may have run
+ * @param resumable whether a broken stream may be resumed at another endpoint
+ * @param abandonMs how long callers wait for the start of an answer, in milliseconds
  */
 public record RouteSpec(
     String name,
@@ -37,14 +37,14 @@
     long abandonMs) {
 
   /**
-   * Gives a service its share of a route's requests.
+   * A service with its share of a route's requests.
    *
    * @param service the service
    * @param weight its share, relative to the others'
    */
   public record Target(ServiceId service, double weight) {}
 
-  /** Checks the bounds. */
+  /** Validates the limits. */
   public RouteSpec {
     Objects.requireNonNull(kind, "kind");
     targets = List.copyOf(targets);
@@ -60,20 +60,20 @@
     }
   }
 
-  /** Returns whether a request that may have run may be sent once more. */
+  /** Returns whether a request that may have run may be sent again. */
   public boolean mayRepeat() {
     return kind.mayRepeat(resumable);
   }
 
-  /** Returns whether answers are streams of events. */
+  /** Returns whether answers are event streams. */
   public boolean streams() {
     return kind == RequestKind.STREAMING;
   }
 
   /**
-   * Returns the service for one request.
+   * Selects the service for one request at random, by weight.
    *
-   * @param draw a number from 0 to below 1, drawn anew for each request
+   * @param draw a random number from 0 (inclusive) to 1 (exclusive), one for each request
    */
   public ServiceId target(double draw) {
     double left = draw * targets.stream().mapToDouble(Target::weight).sum();
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/ServiceSpec.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/ServiceSpec.java
@@ -9,7 +9,7 @@
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param service its name
- * @param maxConnections connections that one endpoint takes from all callers together
- * @param engine what its engines can do; empty for a plain service
+ * @param maxConnections connections that one endpoint accepts in total
+ * @param engine the capacity and models of its engines; empty for a plain service
  */
 public record ServiceSpec(ServiceId service, int maxConnections, Optional<EngineSpec> engine) {}
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/ServingConfiguration.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/ServingConfiguration.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 
 /**
- * One version of the operators' configuration, whole.
+ * One complete version of the operators' configuration.
  *
  * <pre>{@code
  * Optional<RouteSpec> route = configuration.route("notes.example", "/bales/7");
@@ -27,12 +27,12 @@
   private final ConnectionLimits limits;
 
   /**
-   * Makes a version.
+   * Creates a version.
    *
    * @param version its number
    * @param routes the routes
    * @param services the services
-   * @param limits what callers may send
+   * @param limits limits of callers' requests and connections
    */
   public ServingConfiguration(
       long version, List<RouteSpec> routes, List<ServiceSpec> services, ConnectionLimits limits) {
@@ -51,7 +51,7 @@
     return version;
   }
 
-  /** Returns what callers may send. */
+  /** Returns the limits of callers' requests and connections. */
   public ConnectionLimits limits() {
     return limits;
   }
@@ -71,10 +71,10 @@
   }
 
   /**
-   * Returns the route of a request: of those of its host, the one with the longest prefix that
-   * begins its path.
+   * Returns the route of a request: among the routes of its host, the one with the longest prefix
+   * of its path.
    *
-   * @param host the host that the caller asked for, with or without a port
+   * @param host the request's host, with or without a port
    * @param path the path without the query
    */
   public Optional<RouteSpec> route(String host, String path) {
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/package-info.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/package-info.java
@@ -1,2 +1,2 @@
-/** What lives for a version of the configuration: routes, services, adapter versions. */
+/** Model of a configuration version: routes, services, engines and adapter versions. */
 package io.sequoiapass.gateway.version;
--- a/gateway/src/test/java/io/sequoiapass/gateway/connection/LinkFramesTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/connection/LinkFramesTest.java
@@ -77,13 +77,13 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void messageSurvivesItsFrame(LinkMessage message) throws LinkFrames.FormatException {
+  void messageIsDecodedFromItsFrame(LinkMessage message) throws LinkFrames.FormatException {
     assertThat(LinkFrames.decode(LinkFrames.encode(message))).isEqualTo(message);
   }
 
   @ParameterizedTest
   @MethodSource("messages")
-  void shortFrameIsRefused(LinkMessage message) {
+  void truncatedFrameIsRejected(LinkMessage message) {
     byte[] frame = LinkFrames.encode(message);
 
     assertThatThrownBy(() -> LinkFrames.decode(Arrays.copyOf(frame, frame.length - 1)))
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void unknownTypeIsRefused() {
+  void unknownTypeIsRejected() {
     assertThatThrownBy(() -> LinkFrames.decode(new byte[] {99}))
         .isInstanceOf(LinkFrames.FormatException.class);
   }
--- a/gateway/src/test/java/io/sequoiapass/gateway/request/AdapterSearchTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/request/AdapterSearchTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a reply of one data centre that is taken for that of another. */
+/** Guards against a reply that is attributed to another data centre or an earlier request. */
 class AdapterSearchTest {
 
   private static final DataCentreId NORTH = new DataCentreId("north");
@@ -21,79 +21,79 @@
   }
 
   @Test
-  void fullDataCentreStaysOpenForItsTurn() {
+  void fullDataCentreStaysACandidate() {
     search.request(load(NORTH, false), 0, 100);
 
-    assertThat(search.noRoom(NORTH, 250)).isTrue();
-    assertThat(search.open(BOTH)).containsExactly(NORTH, SOUTH);
+    assertThat(search.loadRejected(NORTH, 250)).isTrue();
+    assertThat(search.candidates(BOTH)).containsExactly(NORTH, SOUTH);
     assertThat(search.queueWaits()).containsEntry(NORTH, 250L);
     assertThat(search.retryAfterMs()).isEqualTo(250);
   }
 
   @Test
-  void dataCentreThatDoesNotKeepItsTurnIsClosed() {
+  void dataCentreThatExceedsItsEstimateIsExcluded() {
     search.request(load(NORTH, true), 900, 100);
-    search.noRoom(NORTH, 1_500);
+    search.loadRejected(NORTH, 1_500);
 
-    assertThat(search.open(BOTH)).containsExactly(SOUTH);
+    assertThat(search.candidates(BOTH)).containsExactly(SOUTH);
   }
 
   @Test
-  void wordOfOneThatWasNotAskedChangesNothing() {
+  void replyOfAnotherDataCentreIsIgnored() {
     search.request(load(NORTH, true), 900, 100);
 
-    assertThat(search.noRoom(SOUTH, 250)).isFalse();
-    assertThat(search.lost(SOUTH)).isFalse();
-    assertThat(search.open(BOTH)).containsExactly(NORTH, SOUTH);
+    assertThat(search.loadRejected(SOUTH, 250)).isFalse();
+    assertThat(search.coordinatorLost(SOUTH)).isFalse();
+    assertThat(search.candidates(BOTH)).containsExactly(NORTH, SOUTH);
   }
 
   @Test
-  void silentDataCentreIsNotWaitedForLongerThanAnAnswerTakes() {
+  void unresponsiveDataCentreIsExcludedAfterTheTimeout() {
     search.request(load(NORTH, false), 0, 100);
-    search.closeOverdue(500);
-    assertThat(search.open(BOTH)).contains(NORTH);
+    search.excludeOverdue(500);
+    assertThat(search.candidates(BOTH)).contains(NORTH);
 
-    search.closeOverdue(1_000);
-    assertThat(search.open(BOTH)).containsExactly(SOUTH);
+    search.excludeOverdue(1_000);
+    assertThat(search.candidates(BOTH)).containsExactly(SOUTH);
   }
 
   /** Guards against a load request that counts as overdue because of an earlier wait. */
   @Test
-  void eachSearchHasItsOwnTime() {
+  void eachLoadRequestHasItsOwnTimeout() {
     search.request(load(NORTH, false), 0, 100);
-    search.found();
-    search.closeOverdue(2_000);
+    search.loadFound();
+    search.excludeOverdue(2_000);
     search.request(load(SOUTH, false), 0, 2_000);
-    search.closeOverdue(2_300);
+    search.excludeOverdue(2_300);
 
-    assertThat(search.open(BOTH)).containsExactly(NORTH, SOUTH);
+    assertThat(search.candidates(BOTH)).containsExactly(NORTH, SOUTH);
   }
 
   @Test
-  void lostCoordinatorIsClosed() {
+  void dataCentreOfALostCoordinatorIsExcluded() {
     search.request(load(SOUTH, true), 2_000, 100);
 
-    assertThat(search.lost(SOUTH)).isTrue();
-    assertThat(search.open(BOTH)).containsExactly(NORTH);
+    assertThat(search.coordinatorLost(SOUTH)).isTrue();
+    assertThat(search.candidates(BOTH)).containsExactly(NORTH);
   }
 
-  /** Guards against a request that finds no endpoint after its second copy was requested. */
+  /** Guards against a retry that finds no data centre because a further copy was requested. */
   @Test
-  void requestThatComesBackSearchesAnew() {
+  void retrySearchesAllDataCentresAgain() {
     search.request(new Choice.RequestLoad(NORTH, true, false, 300), 0, 100);
-    search.sent();
-    assertThat(search.open(BOTH)).containsExactly(NORTH, SOUTH);
+    search.reset();
+    assertThat(search.candidates(BOTH)).containsExactly(NORTH, SOUTH);
 
     search.request(load(NORTH, false), 0, 200);
-    search.noRoom(NORTH, 900);
-    search.sent();
+    search.loadRejected(NORTH, 900);
+    search.reset();
     assertThat(search.queueWaits()).isEmpty();
   }
 
   @Test
-  void whileACopyIsAskedForNothingElseIsLoaded() {
+  void noLoadIsRequestedWhileACopyIsPending() {
     search.request(new Choice.RequestLoad(NORTH, true, false, 300), 0, 100);
 
-    assertThat(search.open(BOTH)).isEmpty();
+    assertThat(search.candidates(BOTH)).isEmpty();
   }
 }
--- a/gateway/src/test/java/io/sequoiapass/gateway/request/EventRelayTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/request/EventRelayTest.java
@@ -15,10 +15,10 @@
   }
 
   @Nested
-  class WholeEvents {
+  class CompleteEvents {
 
     @Test
-    void arePassedOnAtOnce() {
+    void areForwardedImmediately() {
       assertThat(take("id: 0\ndata: a\n\nid: 1\ndata: b\n\n"))
           .isEqualTo("id: 0\ndata: a\n\nid: 1\ndata: b\n\n");
       assertThat(relay.lastId()).isEqualTo(1);
@@ -39,17 +39,17 @@
   }
 
   /**
-   * An engine crashes in the middle of an event and another goes on after the last whole one. The
-   * caller must see each event once and no half of one: the half is dropped, and an event that the
-   * second engine sends again is passed over.
+   * An engine crashes in the middle of an event and another one resumes after the last complete
+   * one. The caller must receive each event once and no partial event: the partial event is
+   * dropped, and an event that the second engine sends again is ignored.
    */
   @Nested
   class Resumption {
 
     @Test
-    void dropsTheHalfEventAndWhatWasSeen() {
+    void dropsPartialAndDuplicateEvents() {
       take("id: 0\ndata: a\n\nid: 1\ndata: b\n\nid: 2\nda");
-      relay.drop();
+      relay.discardRemainder();
 
       assertThat(take("id: 1\ndata: b\n\nid: 2\ndata: c\n\n")).isEqualTo("id: 2\ndata: c\n\n");
       assertThat(relay.lastId()).isEqualTo(2);
--- a/gateway/src/test/java/io/sequoiapass/gateway/request/FailoverPolicyTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/request/FailoverPolicyTest.java
@@ -10,11 +10,14 @@
 import io.sequoiapass.gateway.process.Load;
 import org.junit.jupiter.api.Test;
 
-/** A stream that its endpoint could still end must not be cut for lack of another endpoint. */
+/**
+ * Guards against aborting a stream that its stalled endpoint could still finish while no other
+ * endpoint can take it.
+ */
 class FailoverPolicyTest {
 
   private static final DataCentreId NORTH = new DataCentreId("north");
-  private static final EndpointId SILENT = new EndpointId("e1");
+  private static final EndpointId STALLED = new EndpointId("e1");
   private static final EndpointId OTHER = new EndpointId("e2");
 
   private static Candidate candidate(EndpointId endpoint) {
@@ -22,19 +25,19 @@
   }
 
   private static FailoverPolicy.Step next(Choice choice) {
-    return FailoverPolicy.next(choice, SILENT, true);
+    return FailoverPolicy.next(choice, STALLED, true);
   }
 
   @Test
-  void movesToAnEndpointThatCanTakeItAtOnce() {
+  void movesToAnAvailableEndpoint() {
     assertThat(next(new Choice.Send(candidate(OTHER), 40))).isEqualTo(FailoverPolicy.Step.MOVE);
   }
 
   @Test
-  void staysIfThereIsNoOther() {
+  void staysWithoutAnotherEndpoint() {
     assertThat(next(new Choice.Refuse(ErrorKind.NO_ENDPOINT, 250)))
         .isEqualTo(FailoverPolicy.Step.STAY);
-    assertThat(next(new Choice.Send(candidate(SILENT), 40))).isEqualTo(FailoverPolicy.Step.STAY);
+    assertThat(next(new Choice.Send(candidate(STALLED), 40))).isEqualTo(FailoverPolicy.Step.STAY);
   }
 
   @Test
@@ -47,7 +50,7 @@
 
   @Test
   void staysOnceTheRetryBudgetIsUsedUp() {
-    assertThat(FailoverPolicy.next(new Choice.Send(candidate(OTHER), 40), SILENT, false))
+    assertThat(FailoverPolicy.next(new Choice.Send(candidate(OTHER), 40), STALLED, false))
         .isEqualTo(FailoverPolicy.Step.STAY);
   }
 }
