--- a/daemon/src/main/java/io/sequoiapass/daemon/Main.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/Main.java
@@ -2,7 +2,7 @@
 
 import io.sequoiapass.daemon.process.command.Command;
 
-/** Starts the command that the first argument names. */
+/** Entry point; runs the command named by the first argument. */
 public final class Main {
 
   private Main() {}
@@ -10,7 +10,7 @@
   /**
    * Runs one command and exits with its code.
    *
-   * @param arguments the command's name and its flags
+   * @param arguments the name of the command and its flags
    */
   public static void main(String[] arguments) {
     System.exit(Command.dispatch(arguments));
--- a/daemon/src/main/java/io/sequoiapass/daemon/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The one binary: its commands and the entry daemon. */
+/** Main class of the program: its commands and the entry daemon. */
 package io.sequoiapass.daemon;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ControlRounds.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ControlRounds.java
@@ -13,17 +13,20 @@
 import java.util.function.Consumer;
 
 /**
- * Lets time pass for the control parts of a daemon, and sends its heartbeats.
+ * Timer tasks that drive the control plane of a daemon and send its heartbeats.
  *
- * <p>Each round is called by one timer; {@link #reachesOwners} may be asked by any thread.
+ * <p>Each task is called by one timer; {@link #reachesOwners} may be called by any thread.
  */
 final class ControlRounds {
 
-  /** Heartbeats to other data centres are this much rarer: they only show changed tables. */
-  private static final int REMOTE_HEARTBEATS = 4;
+  /** Other data centres get every fourth heartbeat: there it only announces changed tables. */
+  private static final int REMOTE_HEARTBEAT_DIVISOR = 4;
 
-  /** A daemon whose peers are dead, or that starts alone in an outage, serves what it can. */
-  private static final long REACH_WAIT_MS = 5_000;
+  /**
+   * After this time the daemon is ready without connections to all owners, so that it serves what
+   * it can if peers are dead or if it starts alone during an outage.
+   */
+  private static final long OWNERS_CONNECT_TIMEOUT_MS = 5_000;
 
   private final MillisClock clock;
   private final ConfigurationNode configuration;
@@ -58,7 +61,7 @@
     this.startedAt = clock.millis();
   }
 
-  /** Drives configuration, ownership, ledger and stop. */
+  /** Advances configuration, ownership, ledger and planned stop. */
   void control() {
     configuration.tick(ownership.alive());
     presets.accept(configuration.preset());
@@ -70,32 +73,31 @@
     }
     owner.pauses(ownership.handingOver());
     owner.apply(configuration.preset());
-    // A fresh daemon that shows readiness before it knows the owners and is connected to them
-    // refuses what the balancer sends it at once. Both come within moments; a peer that is dead
-    // does not.
+    // Ready before the owners are known and connected, a new daemon would refuse the requests that
+    // the load balancer sends. Both take moments, except for a dead peer; hence the time limit.
     reachesOwners |=
-        peers.reaches(ownership.owners()) || clock.millis() - startedAt >= REACH_WAIT_MS;
+        peers.reaches(ownership.owners()) || clock.millis() - startedAt >= OWNERS_CONNECT_TIMEOUT_MS;
     if (ownership.isHeartbeatDue()) {
-      peers.neighbours().forEach(this::beat);
+      peers.neighbours().forEach(this::sendHeartbeat);
     }
     ledger.tick();
     stop.tick();
   }
 
-  /** Sends heartbeats. */
+  /** Sends heartbeats to the peers; to other data centres at a lower rate. */
   void heartbeat() {
-    peers.neighbours().forEach(this::beat);
-    if (heartbeats++ % REMOTE_HEARTBEATS == 0) {
-      peers.remotes().forEach(this::beat);
+    peers.neighbours().forEach(this::sendHeartbeat);
+    if (heartbeats++ % REMOTE_HEARTBEAT_DIVISOR == 0) {
+      peers.remotes().forEach(this::sendHeartbeat);
     }
   }
 
-  private void beat(DaemonId peer) {
+  private void sendHeartbeat(DaemonId peer) {
     peers.send(
         peer, ownership.heartbeat(peer, configuration.root(), 0).cutOff(configuration.isCutOff()));
   }
 
-  /** Returns whether the owners of endpoints were all connected once, or were waited for. */
+  /** Returns whether all owners have been connected at the same time, or the wait has timed out. */
   boolean reachesOwners() {
     return reachesOwners;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/DaemonEvents.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/DaemonEvents.java
@@ -39,20 +39,20 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** Turns what happens into log lines, metrics and time line events; safe for several threads. */
+/** Records events as log lines, metrics and timeline entries; safe for use by several threads. */
 final class DaemonEvents
     implements EntryObserver, OwnerObserver, ConfigurationListener, OwnershipListener {
 
   private static final long NEVER = Long.MIN_VALUE;
 
-  /** A wait this long is a load or a queue; a free place is given within a step. */
-  private static final long STALL_MS = 100;
+  /** A longer wait is due to a load or a queue: a free slot is granted within one engine step. */
+  private static final long STALL_THRESHOLD_MS = 100;
 
-  /** At most a line in this time tells of refusals: one each would be an overload of its own. */
-  private static final long REFUSALS_INTERVAL_MS = 5_000;
+  /** Refusals are logged at most once per interval: a line each would add load during overload. */
+  private static final long REFUSALS_LOG_INTERVAL_MS = 5_000;
 
-  /** Objects that one time line event names: what a burst of changes brings at once. */
-  private static final int MAX_NAMED = 32;
+  /** Most objects named in one timeline event; enough for a usual burst of changes. */
+  private static final int MAX_NAMED_OBJECTS = 32;
 
   private final DaemonId daemon;
   private final Consumer<DaemonId> resetLink;
@@ -63,7 +63,7 @@
   private final Histogram stalls;
   private final Map<OutcomeClass, Counter> outcomes = new EnumMap<>(OutcomeClass.class);
   private final AtomicLong refusals = new AtomicLong();
-  private final AtomicLong refusalsToldAt = new AtomicLong(NEVER / 2);
+  private final AtomicLong refusalsLoggedAt = new AtomicLong(NEVER / 2);
   private final AtomicLong platformOutSince = new AtomicLong(NEVER);
 
   DaemonEvents(
@@ -129,7 +129,7 @@
   @Override
   public void started(AttemptId id, AdapterVersion adapter, EndpointId endpoint, long waitedMs) {
     stalls.update(waitedMs);
-    if (waitedMs >= STALL_MS) {
+    if (waitedMs >= STALL_THRESHOLD_MS) {
       timeline.record(
           ofAttempt(TimelineKind.REQUEST_STALLED, id)
               .adapter(adapter)
@@ -145,7 +145,7 @@
     return TimelineEvent.of(kind).request(id.request()).cause(causeOf(id.request(), id.attempt()));
   }
 
-  /** Ties what entry and owner record of one attempt together. */
+  /** Returns the id that correlates the events of entry and owner for one attempt. */
   private static CauseId causeOf(RequestId request, int attempt) {
     return new CauseId(request.value() + "/" + attempt);
   }
@@ -192,10 +192,10 @@
     metrics.histogram("admission.refused.after.ms").update(waitedMs);
     long now = clock.millis();
     long refused = refusals.incrementAndGet();
-    long since = refusalsToldAt.get();
-    if (now - since >= REFUSALS_INTERVAL_MS && refusalsToldAt.compareAndSet(since, now)) {
+    long since = refusalsLoggedAt.get();
+    if (now - since >= REFUSALS_LOG_INTERVAL_MS && refusalsLoggedAt.compareAndSet(since, now)) {
       refusals.addAndGet(-refused);
-      EventLog.log(LogEvent.REFUSED_OVERLOAD, refused, REFUSALS_INTERVAL_MS);
+      EventLog.log(LogEvent.REFUSED_OVERLOAD, refused, REFUSALS_LOG_INTERVAL_MS);
     }
   }
 
@@ -215,9 +215,9 @@
     platformAnswered();
   }
 
-  /** Names what changed, as {@code kind/name@version}; a whole listing only by its number. */
+  /** Lists changed objects as {@code kind/name@version}, or only their number if there are many. */
   private static String namesOf(List<ConfigurationObject> newer) {
-    if (newer.size() > MAX_NAMED) {
+    if (newer.size() > MAX_NAMED_OBJECTS) {
       return ", objects: " + newer.size();
     }
     StringBuilder names = new StringBuilder();
@@ -272,7 +272,7 @@
         timeline.record(TimelineEvent.of(TimelineKind.LEASE_LOST).detail(standing.name()).build());
       }
       default -> {
-        // Nothing is lost before the first lease.
+        // Before the first lease there is none to lose.
       }
     }
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/DaemonView.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/DaemonView.java
@@ -11,18 +11,18 @@
 import io.sequoiapass.daemon.version.ConfigurationNode;
 
 /**
- * Shows a daemon to operators.
+ * State of a running daemon for the operators' API.
  *
  * @param daemon its name
- * @param dataCentre where it runs
- * @param incarnation its process's number
+ * @param dataCentre its data centre
+ * @param incarnation the number of its process
  * @param registry its metrics
- * @param timeline its events
+ * @param timeline its recorded events
  * @param configuration its configuration
  * @param ownership its lease and endpoints
- * @param entries requests under way
- * @param owner attempts under way
- * @param rounds tells whether owners are reached
+ * @param entries callers' requests in flight
+ * @param owner attempts in flight
+ * @param rounds its control timer, which tracks the connections to owners
  * @param stop its planned stop
  */
 record DaemonView(
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/EntryDaemon.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/EntryDaemon.java
@@ -55,7 +55,7 @@
 import java.util.function.Consumer;
 
 /**
- * Is one entry daemon: assembles its parts, starts them and stops them.
+ * Entry daemon: assembles its parts, starts and stops them.
  *
  * <pre>{@code
  * EntryDaemon daemon = EntryDaemon.start(settings);
@@ -68,28 +68,29 @@
 
   private static final int CONNECT_TIMEOUT_MS = 500;
   private static final long PLATFORM_TIMEOUT_MS = 1_000;
-  private static final long REQUEST_ROUND_MS = 20;
+  private static final long REQUEST_INTERVAL_MS = 20;
 
-  /** Bounds what a change of owner adds to a takeover, and costs little of a core. */
-  private static final long CONTROL_ROUND_MS = 50;
+  /** Bounds the delay that a change of owner adds to a takeover, at little processor time. */
+  private static final long CONTROL_INTERVAL_MS = 50;
 
-  /** What a balancer that looks every second needs to see that this daemon leaves. */
+  /** Time for a load balancer that probes every second to take the daemon out of rotation. */
   private static final long STOP_GRACE_MS = 2_500;
 
-  /** Longer than a change of the ledger's membership takes to reach all, with a margin. */
+  /** Longer than a ledger membership change takes to reach all members, with a margin. */
   private static final long LEDGER_SETTLE_MS = 10_000;
 
-  private static final long LEDGER_ASK_AGAIN_MS = 500;
+  private static final long LEDGER_RETRY_INTERVAL_MS = 500;
 
   /**
-   * Shorter than an entry waits for its key's home; an entry that lives answers in milliseconds.
+   * Shorter than an entry waits for its key's primary replica; a live entry answers in
+   * milliseconds.
    */
   private static final long LEDGER_HOLDER_TIMEOUT_MS = 2_000;
 
-  /** Some 300 bytes each: 60 MB at most. */
+  /** About 300 bytes each: at most 60 MB. */
   private static final int LEDGER_MAX_RECORDS = 200_000;
 
-  private static final long SHUTDOWN_MS = 1_000;
+  private static final long SHUTDOWN_TIMEOUT_MS = 1_000;
 
   private static final double RETRY_BURST = 20;
   private static final double PERCENT = 100.0;
@@ -101,7 +102,7 @@
   private final MetricRegistry metrics = new MetricRegistry();
   private final EventLoopGroup group;
 
-  /** Operators' large answers must not hold up callers, so they have a loop of their own. */
+  /** Separate event loop, so that operators' large answers do not delay callers. */
   private final EventLoopGroup operatorGroup = SocketTransport.best().group(1);
 
   private final Timeline timeline;
@@ -140,7 +141,7 @@
             local.entrySide(),
             entries,
             owner,
-            new Control());
+            new ControlDispatcher());
     this.configuration =
         new ConfigurationNode(
             clock, wall, settings.daemon(), settings.dataCentre(), platform, peers, events);
@@ -178,14 +179,14 @@
             peers,
             ledger,
             stop,
-            preset -> placement.inForce(preset, routes, owner));
+            preset -> placement.apply(preset, routes, owner));
   }
 
   /**
    * Starts a daemon.
    *
    * @param settings its settings
-   * @throws IOException if a port cannot be had
+   * @throws IOException if a port cannot be bound
    */
   public static EntryDaemon start(EntrySettings settings) throws IOException {
     EntryDaemon daemon = new EntryDaemon(settings);
@@ -207,7 +208,7 @@
       RetryBudget budget = new RetryBudget(settings.retryBudgetPercent() / PERCENT, RETRY_BURST);
       shards.add(
           new EntryShard(
-              clock, routes, AttemptSettings.DEFAULT, budget, events, new LateRecords()));
+              clock, routes, AttemptSettings.DEFAULT, budget, events, new DeferredStartRecords()));
     }
     return new Entries(shards);
   }
@@ -220,9 +221,9 @@
             retention,
             retention / 2,
             LEDGER_SETTLE_MS,
-            LEDGER_ASK_AGAIN_MS,
+            LEDGER_RETRY_INTERVAL_MS,
             LEDGER_HOLDER_TIMEOUT_MS,
-            LEDGER_ASK_AGAIN_MS,
+            LEDGER_RETRY_INTERVAL_MS,
             LEDGER_MAX_RECORDS),
         settings.ledgerFirstInstall(),
         clock,
@@ -237,7 +238,7 @@
     return new Owner(
         () ->
             new OwnerShard(
-                clock, placement.placement(), engines, new Gate(), events, settings.admission()),
+                clock, placement.placement(), engines, new OwnershipGate(), events, settings.admission()),
         new ServicePool(clock, http, events, settings.admission()));
   }
 
@@ -271,9 +272,9 @@
         HttpServer.builder(group, callerHandler())
             .maxBodyBytes(settings.maxBodyBytes())
             .start(address(settings.callerPort()));
-    every(REQUEST_ROUND_MS, "request round", this::requestRound);
-    every(CONTROL_ROUND_MS, "control round", rounds::control);
-    every(settings.heartbeatIntervalMs(), "heartbeat", rounds::heartbeat);
+    schedule(REQUEST_INTERVAL_MS, "request round", this::requestRound);
+    schedule(CONTROL_INTERVAL_MS, "control round", rounds::control);
+    schedule(settings.heartbeatIntervalMs(), "heartbeat", rounds::heartbeat);
     System.out.println(
         "ready caller=" + callers.port() + " operator=" + operators.port() + " peer=" + peerPort);
     EventLog.log(LogEvent.READY, settings.daemon(), callers.port());
@@ -286,7 +287,7 @@
     return new CallerHandler(
         parser,
         configuration::snapshot,
-        this::closed,
+        this::refusal,
         priority -> configuration.preset().admits(priority),
         entries);
   }
@@ -295,7 +296,7 @@
     peers.reset(peer);
   }
 
-  private Optional<ErrorKind> closed() {
+  private Optional<ErrorKind> refusal() {
     if (!stop.phase().isAccepting()) {
       return Optional.of(ErrorKind.DRAINING);
     }
@@ -306,7 +307,7 @@
     return new InetSocketAddress(settings.listenAddress(), port);
   }
 
-  private void every(long periodMs, String name, Runnable round) {
+  private void schedule(long periodMs, String name, Runnable round) {
     group
         .next()
         .scheduleAtFixedRate(() -> guarded(name, round), periodMs, periodMs, TimeUnit.MILLISECONDS);
@@ -316,7 +317,7 @@
     try {
       round.run();
     } catch (RuntimeException e) {
-      // A fault in one round must not end its timer: no deadline would ever pass again.
+      // An exception would cancel the timer, and deadlines would then never be enforced.
       EventLog.log(LogEvent.INTERNAL_ERROR, name, e);
     }
   }
@@ -326,7 +327,7 @@
     owner.tick();
   }
 
-  /** Begins a planned stop: nothing under way is cut off, and everything owned is handed over. */
+  /** Begins a planned stop: requests in flight finish and owned endpoints are handed over. */
   public void drain() {
     stop.begin();
   }
@@ -338,16 +339,16 @@
    */
   public void awaitStop() throws InterruptedException {
     stop.await();
-    stop.releaseLease(SHUTDOWN_MS);
+    stop.releaseLease(SHUTDOWN_TIMEOUT_MS);
     peers.stop();
     callers.close();
     operators.close();
-    operatorGroup.shutdownGracefully(0, SHUTDOWN_MS, TimeUnit.MILLISECONDS);
-    group.shutdownGracefully(0, SHUTDOWN_MS, TimeUnit.MILLISECONDS);
+    operatorGroup.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Asks the ownership part, which is made after the owner. */
-  private final class Gate implements OrderGate {
+  /** Delegates to the ownership node, which is created after the owner. */
+  private final class OwnershipGate implements OrderGate {
 
     @Override
     public Optional<FencingNumber> permit(EndpointId endpoint, OrderKind kind) {
@@ -360,8 +361,8 @@
     }
   }
 
-  /** Takes what peers say of themselves. */
-  private final class Control implements PeerNode.ControlListener {
+  /** Dispatches control messages of peers. */
+  private final class ControlDispatcher implements PeerNode.ControlListener {
 
     @Override
     public void connected(DaemonId peer) {
@@ -397,8 +398,8 @@
     }
   }
 
-  /** Reaches the ledger, which is made after the entries. */
-  private final class LateRecords implements StartRecords {
+  /** Delegates to the ledger, which is created after the entries. */
+  private final class DeferredStartRecords implements StartRecords {
 
     @Override
     public void record(CallerRequest request, Consumer<Optional<ErrorKind>> answer) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/LocalEntry.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/LocalEntry.java
@@ -5,12 +5,12 @@
 import io.sequoiapass.daemon.connection.peer.PeerMessage;
 import io.sequoiapass.daemon.process.entry.Entries;
 
-/** Hands what this process's own owner sends to its entry; safe for use by several threads. */
+/** Delivers messages from this process's own owner to its entry; safe for use by several threads. */
 record LocalEntry(Entries entries) implements PeerListener {
 
   @Override
   public void opened(PeerChannel channel) {
-    // The link of a process to itself is always open.
+    // The in-process link is always open.
   }
 
   @Override
@@ -22,11 +22,11 @@
 
   @Override
   public void writabilityChanged(PeerChannel channel) {
-    // Never happens on a link within the process.
+    // Never called on the in-process link.
   }
 
   @Override
   public void closed(PeerChannel channel) {
-    // Never happens on a link within the process.
+    // Never called on the in-process link.
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/OperatorHandler.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/OperatorHandler.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** Answers operators over HTTP; safe for use by several threads. */
+/** Serves the operators' HTTP API; safe for use by several threads. */
 final class OperatorHandler implements HttpHandler {
 
   private static final int OK = 200;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/OperatorView.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/OperatorView.java
@@ -2,19 +2,19 @@
 
 import io.sequoiapass.daemon.process.timeline.TimelineQuery;
 
-/** Is what operators may see and do; safe for use by several threads. */
+/** Operations of the operators' API; safe for use by several threads. */
 interface OperatorView {
 
-  /** Returns whether the daemon takes requests. */
+  /** Returns whether the daemon accepts requests. */
   boolean ready();
 
   /** Returns all metrics as JSON. */
   String metrics();
 
-  /** Returns what the daemon holds and does, as JSON. */
+  /** Returns the daemon's status as JSON. */
   String status();
 
-  /** Returns the events that a query selects, as JSON. */
+  /** Returns the timeline events that a query selects, as JSON. */
   String timeline(TimelineQuery query);
 
   /** Begins a planned stop. */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/PeerNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/PeerNode.java
@@ -22,11 +22,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Joins this daemon to its peers: hands what arrives to the entry, the owner or the control parts,
- * and sends to daemons by name.
+ * Connects this daemon to its peers: dispatches received messages to the entry, the owner or the
+ * control listener, and sends messages to daemons by name.
  *
- * <p>Requests go out over the connection that this daemon opened, and their answers come back over
- * it; control messages go out over it too. Safe for use by several threads.
+ * <p>Requests and control messages are sent over the connection that this daemon opened, and
+ * answers to the requests are received over it. Safe for use by several threads.
  */
 final class PeerNode implements PeerLinks.PeerEvents, ConfigurationPeers, OwnershipPeers, Channels {
 
@@ -41,7 +41,7 @@
   private final Set<PeerChannel> accepted = ConcurrentHashMap.newKeySet();
   private volatile PeerLinks links;
 
-  /** Hears control messages, on event loops; must not block. */
+  /** Receives control messages, on event loops; must not block. */
   interface ControlListener {
 
     /** Called when a peer is connected. */
@@ -50,7 +50,7 @@
     /** Called when the connection to a peer has closed. */
     void disconnected(DaemonId peer);
 
-    /** Returns what the platform's host list says of a host. */
+    /** Returns the state of a host in the platform's host list. */
     HostHint hint(HostId host);
 
     /** Called with each control message. */
@@ -112,7 +112,7 @@
 
   @Override
   public HostHint hint(DaemonId peer) {
-    // Until it has connected a peer's host is not known, and its silence is borne as ever.
+    // A peer's host is unknown until the peer connects; the full timeout applies until then.
     HostId host = hosts.get(peer);
     return host == null ? HostHint.LIVE : control.hint(host);
   }
@@ -138,12 +138,12 @@
     links.channel(peer).ifPresent(channel -> channel.send(message));
   }
 
-  /** Returns whether there are owners and each is this daemon or connected. */
+  /** Returns whether the set is not empty and each owner is this daemon or a connected peer. */
   boolean reaches(Set<DaemonId> owners) {
     return !owners.isEmpty() && owners.stream().allMatch(owner -> to(owner).isPresent());
   }
 
-  /** Closes the connection to a silent peer, so that what waits for it moves on at once. */
+  /** Closes the connection to an unresponsive peer, so that requests in flight stop waiting for it. */
   void reset(DaemonId peer) {
     links.reset(peer);
   }
@@ -177,7 +177,7 @@
     return new Accepted();
   }
 
-  /** Is a connection that a peer opened: it carries the peer's requests and control messages. */
+  /** Listener of a connection that a peer opened for its requests and control messages. */
   private final class Accepted implements PeerListener {
 
     private volatile DaemonId peer;
@@ -194,7 +194,7 @@
         peer = hello.daemon();
         hosts.put(peer, hello.host());
       } else if (peer == null) {
-        // Whoever does not say who it is gets nothing done.
+        // The first message must be a Hello that identifies the peer.
         channel.close();
       } else if (message instanceof PeerMessage.OfAttempt) {
         owner.received(channel, message);
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/PlacementByPreset.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/PlacementByPreset.java
@@ -10,9 +10,9 @@
 import java.util.Objects;
 
 /**
- * Makes placements and routes weigh load stalls and batches as the preset in force says.
+ * Applies the weights of the active preset to placements and routes.
  *
- * <p>{@link #placement} may be called by any thread; {@link #inForce} by one timer.
+ * <p>{@link #placement} may be called by any thread; {@link #apply} by a single timer only.
  */
 final class PlacementByPreset {
 
@@ -25,7 +25,7 @@
     this.ordinary = Objects.requireNonNull(ordinary, "ordinary");
   }
 
-  /** Returns a placement for one more base model. */
+  /** Returns a new placement for one base model. */
   Placement placement() {
     Placement placement = policy.create(PlacementSettings.defaults(), ordinary);
     placement.weigh(weights(), prefetches());
@@ -33,17 +33,17 @@
   }
 
   /**
-   * Passes the weights of another preset on.
+   * Passes the weights of the active preset to routes and owner; does nothing if it is unchanged.
    *
-   * @param current the preset in force now
-   * @param routes the entry's side
-   * @param owner the endpoints' side
+   * @param current the active preset
+   * @param routes the routes of the entry
+   * @param owner the owner of the endpoints
    */
-  void inForce(Preset current, AffinityRoutes routes, Owner owner) {
+  void apply(Preset current, AffinityRoutes routes, Owner owner) {
     if (current == preset) {
       return;
     }
-    // First this, then the owner: a placement made in between asks for its weights itself.
+    // Set before the owner is updated: a placement created in between reads its weights from here.
     preset = current;
     routes.weigh(weights());
     owner.weigh(weights(), prefetches());
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/PlannedStop.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/PlannedStop.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Drives a {@link StopSequence} with what is really under way in the daemon.
+ * Drives a {@link StopSequence} from the daemon's requests in flight and owned endpoints.
  *
  * <p>Safe for use by several threads.
  */
@@ -49,14 +49,14 @@
     this.timeline = Objects.requireNonNull(timeline, "timeline");
   }
 
-  /** Returns how far the stop has come. */
+  /** Returns the current phase. */
   StopSequence.Phase phase() {
     synchronized (sequence) {
       return sequence.phase();
     }
   }
 
-  /** Begins the stop: nothing under way is cut off, and everything owned is handed over. */
+  /** Begins the stop: requests in flight finish and owned endpoints are handed over. */
   void begin() {
     synchronized (sequence) {
       if (sequence.phase() != StopSequence.Phase.SERVING) {
@@ -69,22 +69,22 @@
     ownership.drain();
   }
 
-  /** Lets time pass. */
+  /** Advances the phase. */
   void tick() {
     StopSequence.Phase before;
     StopSequence.Phase after;
-    int underWay = entries.size() + owner.size();
+    int inFlight = entries.size() + owner.size();
     if (phase() != StopSequence.Phase.SERVING && entries.size() == 0) {
-      // Not before: the record of a member's request is closed when the member leaves.
+      // Only when no request is left: leaving closes the ledger records of this member's requests.
       ledger.leave();
     }
     synchronized (sequence) {
       before = sequence.phase();
-      sequence.tick(clock.millis(), underWay, ownership.hasSuccessor() ? ownership.owned() : 0);
+      sequence.tick(clock.millis(), inFlight, ownership.hasSuccessor() ? ownership.owned() : 0);
       after = sequence.phase();
     }
     if (before != after && after == StopSequence.Phase.STOPPED) {
-      EventLog.log(LogEvent.STOPPED, underWay);
+      EventLog.log(LogEvent.STOPPED, inFlight);
       stopped.countDown();
     }
   }
@@ -94,12 +94,12 @@
     stopped.await();
   }
 
-  /** Gives the lease up, and waits for the platform's answer for a while. */
+  /** Releases the lease and waits up to a limit for the platform's answer. */
   void releaseLease(long limitMs) throws InterruptedException {
     try {
       ownership.release().get(limitMs, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException notReleased) {
-      // It runs out by itself; only the next process under this name waits for that.
+      // The lease expires by itself; only the next process under this name has to wait for that.
       EventLog.log(LogEvent.PLATFORM_UNREACHABLE, String.valueOf(notReleased.getMessage()));
     }
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/StatusReport.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/StatusReport.java
@@ -3,19 +3,19 @@
 import com.google.gson.Gson;
 
 /**
- * Is the answer to {@code GET /status}, as Gson writes it.
+ * Response body of {@code GET /status}, serialized by Gson.
  *
- * @param daemon the daemon
+ * @param daemon the daemon's name
  * @param dataCentre its data centre
- * @param incarnation its process's number
- * @param ready whether it takes requests
+ * @param incarnation the number of its process
+ * @param ready whether it accepts requests
  * @param draining whether it is stopping
- * @param lease how its lease stands
- * @param owned endpoints that it owns
+ * @param lease the state of its lease
+ * @param owned number of endpoints that it owns
  * @param revision the highest version of any configuration object that it holds
- * @param preset the preset in force
- * @param requests requests of callers under way
- * @param attempts attempts under way on endpoints that it owns
+ * @param preset the active preset
+ * @param requests number of callers' requests in flight
+ * @param attempts number of attempts in flight on endpoints that it owns
  */
 record StatusReport(
     String daemon,
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/StopSequence.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/StopSequence.java
@@ -1,7 +1,7 @@
 package io.sequoiapass.daemon.process;
 
 /**
- * Decides how far a planned stop has come.
+ * State machine of a planned stop.
  *
  * <pre>{@code
  * StopSequence stop = new StopSequence(settings);
@@ -10,22 +10,22 @@
  * if (stop.phase() == StopSequence.Phase.STOPPED) { ... }
  * }</pre>
  *
- * <p>Not safe for use by several threads: one owner drives it.
+ * <p>Not safe for use by several threads.
  */
 final class StopSequence {
 
-  /** Tells how far the stop has come. */
+  /** Phase of the stop. */
   enum Phase {
-    /** Serves; no stop was asked for. */
+    /** Serves; no stop was requested. */
     SERVING(true, true),
     /**
-     * Not ready any more, but takes what still comes: the balancer needs a few looks to see that it
-     * is leaving, and a refusal until then would cut off a request that did nothing wrong.
+     * Not ready, but still accepts requests: the load balancer needs several probes to take the
+     * daemon out of rotation, and a refusal before that would fail a request needlessly.
      */
     LEAVING(false, true),
-    /** Takes nothing new and finishes what is under way. */
+    /** Refuses new requests and finishes those in flight. */
     FINISHING(false, false),
-    /** Has nothing left to do. */
+    /** All work has ended or the limit has passed. */
     STOPPED(false, false);
 
     private final boolean ready;
@@ -36,12 +36,12 @@
       this.accepting = accepting;
     }
 
-    /** Returns whether readiness is shown. */
+    /** Returns whether the readiness probe succeeds. */
     boolean isReady() {
       return ready;
     }
 
-    /** Returns whether requests of callers are taken. */
+    /** Returns whether new requests of callers are accepted. */
     boolean isAccepting() {
       return accepting;
     }
@@ -53,10 +53,10 @@
   private long begunAt;
 
   /**
-   * Makes a sequence that has not begun.
+   * Creates a sequence that has not begun.
    *
-   * @param graceMs how long requests are still taken after the stop was asked for, in milliseconds
-   * @param limitMs how long the whole stop may take, in milliseconds
+   * @param graceMs how long requests are still accepted after the stop was requested, in milliseconds
+   * @param limitMs the longest duration of the stop, grace included, in milliseconds
    */
   StopSequence(long graceMs, long limitMs) {
     if (graceMs < 0 || limitMs < graceMs) {
@@ -66,7 +66,7 @@
     this.limitMs = limitMs;
   }
 
-  /** Asks for the stop; a second time changes nothing. */
+  /** Requests the stop; further calls have no effect. */
   void begin(long nowMs) {
     if (phase == Phase.SERVING) {
       phase = Phase.LEAVING;
@@ -75,23 +75,23 @@
   }
 
   /**
-   * Lets time pass.
+   * Advances the phase.
    *
-   * @param nowMs the time
-   * @param underWay requests and attempts that have not ended
-   * @param owned endpoints that were not handed over yet
+   * @param nowMs the current time, in milliseconds
+   * @param inFlight number of requests and attempts that have not ended
+   * @param owned number of endpoints not yet handed over
    */
-  void tick(long nowMs, int underWay, int owned) {
+  void tick(long nowMs, int inFlight, int owned) {
     if (phase == Phase.LEAVING && nowMs - begunAt >= graceMs) {
       phase = Phase.FINISHING;
     }
-    boolean idle = underWay == 0 && owned == 0;
+    boolean idle = inFlight == 0 && owned == 0;
     if (phase == Phase.FINISHING && (idle || nowMs - begunAt >= limitMs)) {
       phase = Phase.STOPPED;
     }
   }
 
-  /** Returns how far the stop has come. */
+  /** Returns the current phase. */
   Phase phase() {
     return phase;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/package-info.java
@@ -1,2 +1,2 @@
-/** What lives as long as the process: the daemon and its parts. */
+/** The entry daemon's process: its assembly, timers, planned stop, log events and operators' API. */
 package io.sequoiapass.daemon.process;
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/Page.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/Page.java
@@ -6,14 +6,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Holds pages of the docs to the code; {@code -Dsequoiapass.pages=write} writes them anew. */
+/** Compares generated documentation pages; {@code -Dsequoiapass.pages=write} regenerates them. */
 public final class Page {
 
   private static final Path DOCS = Path.of("..", "docs");
 
   private Page() {}
 
-  /** Checks that a page is exactly what the code gives. */
+  /** Asserts that a page equals the text generated from the code. */
   public static void assertIs(String name, String expected) throws IOException {
     Path page = DOCS.resolve(name);
     if ("write".equals(System.getProperty("sequoiapass.pages"))) {
@@ -22,7 +22,7 @@
     assertThat(Files.readString(page)).isEqualTo(expected);
   }
 
-  /** Checks that a page holds some lines. */
+  /** Asserts that a page contains some lines. */
   public static void assertHolds(String name, String... parts) throws IOException {
     assertThat(Files.readString(DOCS.resolve(name))).contains(parts);
   }
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/StopSequenceTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/StopSequenceTest.java
@@ -15,13 +15,13 @@
   private final StopSequence stop = new StopSequence(GRACE, LIMIT);
 
   @Test
-  void servesUntilAsked() {
+  void servesUntilTheStopIsRequested() {
     stop.tick(50_000, 0, 0);
     assertThat(stop.phase()).isEqualTo(Phase.SERVING);
   }
 
   @Test
-  void limitsAreChecked() {
+  void rejectsALimitBelowTheGrace() {
     assertThatThrownBy(() -> new StopSequence(5, 4)).hasMessageContaining("5, 4");
   }
 
@@ -29,7 +29,7 @@
   class AfterBegin {
 
     @Test
-    void takesRequestsWithoutBeingReadyDuringTheGrace() {
+    void acceptsRequestsWhileNotReadyDuringTheGrace() {
       stop.begin(0);
       stop.tick(GRACE - 1, 0, 0);
       assertThat(stop.phase().isReady()).isFalse();
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void endsAtItsLimitWhateverIsLeft() {
+    void stopsAtItsLimitWithWorkLeft() {
       stop.begin(0);
       stop.tick(GRACE, 3, 1);
       stop.tick(LIMIT, 3, 1);
