--- a/daemon/src/main/java/io/sequoiapass/daemon/process/explain/DecisionLine.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/explain/DecisionLine.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /**
- * One line that a daemon wrote for one decision.
+ * One entry of a daemon's decision log.
  *
  * <p>Immutable and safe for use by several threads.
  */
@@ -20,10 +20,10 @@
   }
 
   /**
-   * Reads a line; what a log collector put before the first brace is passed over.
+   * Parses a line; text before the first brace, such as a log collector's prefix, is ignored.
    *
    * @param text the line
-   * @return empty if it is not a decision
+   * @return the entry, or empty if the line is not one
    */
   static Optional<DecisionLine> parse(String text) {
     int begin = text.indexOf('{');
@@ -44,12 +44,12 @@
     return text("event");
   }
 
-  /** Returns a field as text; empty where there is none. */
+  /** Returns a field as text, or an empty string if it is absent. */
   String text(String field) {
     return has(field) ? fields.get(field).getAsString() : "";
   }
 
-  /** Returns a field as a number; 0 where there is none or it is none. */
+  /** Returns a field as a number, or 0 if it is absent or not a number. */
   long number(String field) {
     try {
       return has(field) ? fields.get(field).getAsLong() : 0;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/explain/Loss.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/explain/Loss.java
@@ -1,32 +1,32 @@
 package io.sequoiapass.daemon.process.explain;
 
-/** Tells what became of a request, and for a late one what took most of its time. */
+/** Classification of an ended request; a late one is classified by what took most of its time. */
 enum Loss {
-  /** Answered within the route's wanted time, with no longer pause than wanted. */
+  /** Answered within the route's target time, without a pause above the target. */
   NONE("in time"),
-  /** Late; most of the time there was no place for its adapter at any engine. */
-  PLACE("late: waited for a place for its adapter"),
-  /** Late; most of the time its adapter was on its way. */
-  LOAD("late: waited for its adapter to arrive"),
-  /** Late; most of the time went to endpoints that refused or lost it. */
-  SENT_AGAIN("late: sent again after a refusal or a loss"),
-  /** Late; the endpoint took much longer than was expected. */
+  /** Late; it mostly waited for a free adapter slot on any engine. */
+  SLOT("late: waited for an adapter slot"),
+  /** Late; it mostly waited for its adapter to load. */
+  LOAD("late: waited for its adapter to load"),
+  /** Late; most of its time was spent on attempts that endpoints refused or lost. */
+  RETRIED("late: retried after a refusal or a loss"),
+  /** Late; the endpoint took much longer than expected. */
   SLOW_ENDPOINT("late: the endpoint took longer than expected"),
-  /** Late; the endpoint took as long as was expected. */
-  BUSY_ENDPOINT("late: the endpoint was known to be busy"),
-  /** The answer began in time and paused for too long. */
-  PAUSED("late: a pause midway"),
+  /** Late; the endpoint took about as long as expected. */
+  BUSY_ENDPOINT("late: the endpoint was busy, as expected"),
+  /** The answer began in time but paused for longer than the target. */
+  PAUSED("late: a pause midway through the answer"),
   /** Refused: it did not run. */
   REFUSED("refused"),
   /** Failed: it may have run. */
   FAILED("failed"),
-  /** An answer that was broken off. */
-  CUT("broken off midway"),
+  /** The answer was cut off. */
+  CUT("answer cut off"),
   /** The caller left. */
   LEFT("the caller left");
 
-  /** An endpoint that takes this share longer than expected is slow, not busy. */
-  private static final double SLOW_SHARE = 0.5;
+  /** Share of the time at the endpoint beyond which an excess means slow, not busy. */
+  private static final double SLOW_EXCESS_SHARE = 0.5;
 
   private final String label;
 
@@ -38,17 +38,17 @@
     return label;
   }
 
-  /** Returns the further word that tells requests of the same kind apart; empty if none does. */
-  String detail(RequestTrail trail) {
+  /** Returns a detail that subdivides the class, or an empty string if there is none. */
+  String detail(RequestTrace trace) {
     return switch (this) {
-      case REFUSED, FAILED -> trail.outcome().substring(trail.outcome().indexOf('_') + 1);
-      case LEFT -> trail.isStream() ? "midway" : "before anything came";
+      case REFUSED, FAILED -> trace.outcome().substring(trace.outcome().indexOf('_') + 1);
+      case LEFT -> trace.isStream() ? "midway" : "before the answer began";
       default -> "";
     };
   }
 
-  static Loss of(RequestTrail trail) {
-    String outcome = trail.outcome();
+  static Loss of(RequestTrace trace) {
+    String outcome = trace.outcome();
     if (outcome.startsWith("refused")) {
       return REFUSED;
     }
@@ -58,28 +58,28 @@
     if (outcome.equals("caller_left")) {
       return LEFT;
     }
-    if (!trail.wasAnswered()) {
+    if (!trace.wasAnswered()) {
       return FAILED;
     }
-    if (trail.isLate()) {
-      return ofLate(trail);
+    if (trace.isLate()) {
+      return ofLate(trace);
     }
-    return trail.paused() ? PAUSED : NONE;
+    return trace.hasLongPause() ? PAUSED : NONE;
   }
 
-  private static Loss ofLate(RequestTrail trail) {
-    long place = trail.waitedForPlaceMs();
-    long load = trail.waitedForLoadMs();
-    long again = trail.sentAgainMs();
-    long endpoint = trail.atEndpointMs();
+  private static Loss ofLate(RequestTrace trace) {
+    long place = trace.slotWaitMs();
+    long load = trace.loadWaitMs();
+    long again = trace.failedAttemptsMs();
+    long endpoint = trace.atEndpointMs();
     long most = Math.max(Math.max(place, load), Math.max(again, endpoint));
     if (most == endpoint) {
-      boolean slow = trail.beyondExpectedMs() > SLOW_SHARE * endpoint;
+      boolean slow = trace.excessMs() > SLOW_EXCESS_SHARE * endpoint;
       return slow ? SLOW_ENDPOINT : BUSY_ENDPOINT;
     }
     if (most == again) {
-      return SENT_AGAIN;
+      return RETRIED;
     }
-    return most == place ? PLACE : LOAD;
+    return most == place ? SLOT : LOAD;
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/explain/LossReport.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/explain/LossReport.java
@@ -12,8 +12,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Adds up the decision lines of all daemons and says where callers lost what: by reason, by route,
- * by moment, with requests to follow.
+ * Report on late and failed requests, built from the decision logs of all daemons: by reason, with
+ * example request ids, by route and by second of arrival.
  *
  * <pre>{@code
  * LossReport report = new LossReport();
@@ -25,35 +25,35 @@
  */
 public final class LossReport {
 
-  /** Request ids that are shown for each reason. */
-  private static final int EXAMPLES = 3;
+  /** Request ids shown for each reason. */
+  private static final int MAX_EXAMPLES = 3;
 
   private static final long MILLIS_PER_SECOND = 1_000;
   private static final double PERCENT = 100;
 
-  private final Map<String, RequestTrail> trails = new LinkedHashMap<>();
+  private final Map<String, RequestTrace> traces = new LinkedHashMap<>();
   private final Map<String, Integer> orders = new TreeMap<>();
   private long lines;
 
   /**
-   * Takes in one line.
+   * Adds one line of a log.
    *
-   * @param text the line; others than decisions are passed over
+   * @param text the line; ignored if it is not a decision log entry
    */
   public void read(String text) {
-    DecisionLine.parse(text).ifPresent(this::take);
+    DecisionLine.parse(text).ifPresent(this::add);
   }
 
-  private void take(DecisionLine line) {
+  private void add(DecisionLine line) {
     lines++;
     if (line.has("request")) {
-      trails.computeIfAbsent(line.text("request"), RequestTrail::new).add(line);
+      traces.computeIfAbsent(line.text("request"), RequestTrace::new).add(line);
     } else if (line.event().equals("order")) {
       orders.merge(line.text("type") + " " + line.text("result"), 1, Integer::sum);
     }
   }
 
-  /** Returns how many decisions were read. */
+  /** Returns the number of decision log entries read. */
   public long lines() {
     return lines;
   }
@@ -61,31 +61,31 @@
   /**
    * Prints the report.
    *
-   * @param out where to
+   * @param out the stream to print to
    */
   public void print(PrintStream out) {
-    List<RequestTrail> ended = trails.values().stream().filter(RequestTrail::hasEnded).toList();
+    List<RequestTrace> ended = traces.values().stream().filter(RequestTrace::hasEnded).toList();
     out.printf(
         Locale.ROOT,
         "%d requests, %d of them without an end in these lines%n%n",
-        trails.size(),
-        trails.size() - ended.size());
+        traces.size(),
+        traces.size() - ended.size());
     printReasons(out, ended);
     printRoutes(out, ended);
-    printMoments(out, ended);
-    printExpectations(out, ended);
+    printSeconds(out, ended);
+    printFirstEvents(out, ended);
     out.printf("orders: %s%n", orders);
   }
 
-  private static void printReasons(PrintStream out, List<RequestTrail> ended) {
-    Map<String, List<RequestTrail>> reasons = new HashMap<>();
-    for (RequestTrail trail : ended) {
-      Loss loss = Loss.of(trail);
-      String detail = loss.detail(trail);
+  private static void printReasons(PrintStream out, List<RequestTrace> ended) {
+    Map<String, List<RequestTrace>> reasons = new HashMap<>();
+    for (RequestTrace trace : ended) {
+      Loss loss = Loss.of(trace);
+      String detail = loss.detail(trace);
       String reason = detail.isEmpty() ? loss.label() : loss.label() + ": " + detail;
-      reasons.computeIfAbsent(reason, any -> new ArrayList<>()).add(trail);
+      reasons.computeIfAbsent(reason, any -> new ArrayList<>()).add(trace);
     }
-    out.printf("%-60s %8s %7s  %s%n", "what became of them", "requests", "share", "for example");
+    out.printf("%-60s %8s %7s  %s%n", "outcome", "requests", "share", "examples");
     reasons.entrySet().stream()
         .sorted(Comparator.comparing(entry -> -entry.getValue().size()))
         .forEach(
@@ -97,32 +97,32 @@
                     entry.getValue().size(),
                     PERCENT * entry.getValue().size() / ended.size(),
                     entry.getValue().stream()
-                        .limit(EXAMPLES)
-                        .map(RequestTrail::id)
+                        .limit(MAX_EXAMPLES)
+                        .map(RequestTrace::id)
                         .collect(Collectors.joining(" "))));
     out.println();
   }
 
-  private static void printRoutes(PrintStream out, List<RequestTrail> ended) {
-    Map<String, List<RequestTrail>> routes =
+  private static void printRoutes(PrintStream out, List<RequestTrace> ended) {
+    Map<String, List<RequestTrace>> routes =
         ended.stream()
-            .collect(Collectors.groupingBy(RequestTrail::route, TreeMap::new, Collectors.toList()));
+            .collect(Collectors.groupingBy(RequestTrace::route, TreeMap::new, Collectors.toList()));
     header(out, "route");
-    routes.forEach((route, trails) -> row(out, route, trails));
+    routes.forEach((route, traces) -> row(out, route, traces));
     out.println();
   }
 
-  private static void printMoments(PrintStream out, List<RequestTrail> ended) {
-    long begin = ended.stream().mapToLong(RequestTrail::arrivedAt).min().orElse(0);
-    Map<Long, List<RequestTrail>> seconds =
+  private static void printSeconds(PrintStream out, List<RequestTrace> ended) {
+    long begin = ended.stream().mapToLong(RequestTrace::arrivedAt).min().orElse(0);
+    Map<Long, List<RequestTrace>> seconds =
         ended.stream()
             .collect(
                 Collectors.groupingBy(
-                    trail -> (trail.arrivedAt() - begin) / MILLIS_PER_SECOND,
+                    trace -> (trace.arrivedAt() - begin) / MILLIS_PER_SECOND,
                     TreeMap::new,
                     Collectors.toList()));
     header(out, "second of arrival");
-    seconds.forEach((second, trails) -> row(out, String.valueOf(second), trails));
+    seconds.forEach((second, traces) -> row(out, String.valueOf(second), traces));
     out.println();
   }
 
@@ -141,18 +141,18 @@
         "fail");
   }
 
-  private static void row(PrintStream out, String name, List<RequestTrail> trails) {
+  private static void row(PrintStream out, String name, List<RequestTrace> traces) {
     Map<Loss, Long> losses =
-        trails.stream().collect(Collectors.groupingBy(Loss::of, Collectors.counting()));
+        traces.stream().collect(Collectors.groupingBy(Loss::of, Collectors.counting()));
     out.printf(
         Locale.ROOT,
         "%-28s %8d %7.1f%% %6d %6d %6d %8d %6d %6d %6d%n",
         name,
-        trails.size(),
-        PERCENT * count(losses, Loss.NONE) / trails.size(),
-        count(losses, Loss.PLACE),
+        traces.size(),
+        PERCENT * count(losses, Loss.NONE) / traces.size(),
+        count(losses, Loss.SLOT),
         count(losses, Loss.LOAD),
-        count(losses, Loss.SENT_AGAIN),
+        count(losses, Loss.RETRIED),
         count(losses, Loss.SLOW_ENDPOINT) + count(losses, Loss.BUSY_ENDPOINT),
         count(losses, Loss.PAUSED),
         count(losses, Loss.REFUSED),
@@ -163,23 +163,23 @@
     return losses.getOrDefault(loss, 0L);
   }
 
-  private static void printExpectations(PrintStream out, List<RequestTrail> ended) {
-    List<RequestTrail> streams =
-        ended.stream().filter(trail -> trail.wasAnswered() && trail.isStream()).toList();
+  private static void printFirstEvents(PrintStream out, List<RequestTrace> ended) {
+    List<RequestTrace> streams =
+        ended.stream().filter(trace -> trace.wasAnswered() && trace.isStream()).toList();
     if (streams.isEmpty()) {
       return;
     }
-    long[] beyond = streams.stream().mapToLong(RequestTrail::beyondExpectedMs).sorted().toArray();
-    long[] first = streams.stream().mapToLong(RequestTrail::answeredMs).sorted().toArray();
-    int refused = ended.stream().mapToInt(RequestTrail::refusedByEndpoints).sum();
+    long[] beyond = streams.stream().mapToLong(RequestTrace::excessMs).sorted().toArray();
+    long[] first = streams.stream().mapToLong(RequestTrace::responseMs).sorted().toArray();
+    int refused = ended.stream().mapToInt(RequestTrace::refusedByEndpoints).sum();
     out.printf(
-        "first events: p50 %d ms, p90 %d ms; beyond what was expected of the engine: p50 %d ms, p90"
+        "first events: p50 %d ms, p90 %d ms; beyond the expected time: p50 %d ms, p90"
             + " %d ms%n",
-        at(first, 0.5), at(first, 0.9), at(beyond, 0.5), at(beyond, 0.9));
-    out.printf("refused by endpoints: %d sendings%n", refused);
+        quantile(first, 0.5), quantile(first, 0.9), quantile(beyond, 0.5), quantile(beyond, 0.9));
+    out.printf("refused by endpoints: %d attempts%n", refused);
   }
 
-  private static long at(long[] sorted, double share) {
+  private static long quantile(long[] sorted, double share) {
     return sorted[(int) ((sorted.length - 1) * share)];
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/explain/RequestTrail.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/explain/RequestTrace.java
@@ -1,11 +1,11 @@
 package io.sequoiapass.daemon.process.explain;
 
 /**
- * What the lines of one request say of its way.
+ * Trace of one request, built from its decision log entries.
  *
  * <p>Not safe for use by several threads.
  */
-final class RequestTrail {
+final class RequestTrace {
 
   private final String id;
   private long firstSentMs = -1;
@@ -15,7 +15,7 @@
   private int lost;
   private DecisionLine end;
 
-  RequestTrail(String id) {
+  RequestTrace(String id) {
     this.id = id;
   }
 
@@ -26,7 +26,7 @@
       case "broken", "unsent" -> lost++;
       case "ended" -> end = line;
       default -> {
-        // Other lines of a request say nothing of its way.
+        // Other events do not contribute to the trace.
       }
     }
   }
@@ -51,7 +51,7 @@
     return end.text("route");
   }
 
-  /** Returns when it arrived, in milliseconds of the wall clock. */
+  /** Returns the arrival time, in milliseconds of the wall clock. */
   long arrivedAt() {
     return end.number("time_ms") - end.number("took_ms");
   }
@@ -64,40 +64,40 @@
     return end.number("first_ms") >= 0;
   }
 
-  /** Returns the time until the caller had what it waits for first, in milliseconds. */
-  long answeredMs() {
+  /** Returns the time to the first token of a stream or to the answer otherwise, in milliseconds. */
+  long responseMs() {
     return isStream() ? end.number("first_ms") : end.number("took_ms");
   }
 
   boolean isLate() {
-    return answeredMs() > end.number("target_ms");
+    return responseMs() > end.number("target_ms");
   }
 
-  boolean paused() {
+  boolean hasLongPause() {
     return isStream() && end.number("pause_ms") > end.number("gap_ms");
   }
 
-  long waitedForPlaceMs() {
+  long slotWaitMs() {
     return end.number("slot_wait_ms");
   }
 
-  long waitedForLoadMs() {
+  long loadWaitMs() {
     return end.number("load_ms");
   }
 
-  /** Returns the time that sendings cost which led to nothing, in milliseconds. */
-  long sentAgainMs() {
+  /** Returns the time spent on attempts that were refused or lost, in milliseconds. */
+  long failedAttemptsMs() {
     long waits = Math.max(0, lastSentMs - firstSentMs);
     return refusedByEndpoints + lost > 0 ? waits : 0;
   }
 
   /** Returns the time at the endpoint that answered, in milliseconds. */
   long atEndpointMs() {
-    return firstSentMs < 0 ? 0 : Math.max(0, answeredMs() - lastSentMs);
+    return firstSentMs < 0 ? 0 : Math.max(0, responseMs() - lastSentMs);
   }
 
-  /** Returns how much longer than expected the endpoint took, in milliseconds. */
-  long beyondExpectedMs() {
+  /** Returns the time at the endpoint in excess of the expected time, in milliseconds. */
+  long excessMs() {
     return atEndpointMs() - expectedMs;
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/explain/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/explain/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the lines that daemons wrote for their decisions and says where callers lost what. */
+/** Analysis of daemons' decision logs: which requests were late or failed, and why. */
 package io.sequoiapass.daemon.process.explain;
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/explain/LossReportTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/explain/LossReportTest.java
@@ -10,7 +10,7 @@
 
 class LossReportTest {
 
-  private static final String WANTED = "\"target_ms\":600,\"gap_ms\":400,";
+  private static final String TARGETS = "\"target_ms\":600,\"gap_ms\":400,";
 
   private final LossReport report = new LossReport();
 
@@ -23,7 +23,7 @@
   private void ended(String id, String outcome, String times) {
     report.read(
         "{\"time_ms\":9000,\"event\":\"ended\",\"request\":\"%s\",\"route\":\"query\",\"outcome\":\"%s\",%s%s}"
-            .formatted(id, outcome, WANTED, times));
+            .formatted(id, outcome, TARGETS, times));
   }
 
   private static String stream(long firstMs, long pauseMs, long placeMs, long loadMs) {
@@ -45,33 +45,33 @@
   class LateRequest {
 
     @Test
-    void isPutDownToThePlaceItWaitedForMost() {
+    void isClassifiedBySlotWait() {
       sent("r1", 1, 900, 50);
       ended("r1", "answered", stream(980, 20, 650, 250));
 
-      assertReason("late: waited for a place for its adapter");
+      assertReason("late: waited for an adapter slot");
     }
 
     @Test
-    void isPutDownToTheLoadItWaitedForMost() {
+    void isClassifiedByLoadWait() {
       sent("r1", 1, 620, 50);
       ended("r1", "answered", stream(700, 20, 40, 580));
 
-      assertReason("late: waited for its adapter to arrive");
+      assertReason("late: waited for its adapter to load");
     }
 
     @Test
-    void isPutDownToSendingsThatLedToNothing() {
+    void isClassifiedByFailedAttempts() {
       sent("r1", 1, 100, 50);
       report.read("{\"event\":\"not_run\",\"request\":\"r1\",\"answer\":\"NOT_RUN_BUSY\"}");
       sent("r1", 2, 700, 50);
       ended("r1", "answered", stream(800, 20, 100, 0));
 
-      assertReason("late: sent again after a refusal or a loss");
+      assertReason("late: retried after a refusal or a loss");
     }
 
     @Test
-    void tellsAnEngineThatWasSlowFromOneThatWasBusy() {
+    void distinguishesASlowFromABusyEndpoint() {
       sent("r1", 1, 0, 100);
       ended("r1", "answered", stream(900, 20, 0, 0));
       sent("r2", 1, 0, 800);
@@ -79,33 +79,33 @@
 
       assertThat(printed())
           .containsPattern("late: the endpoint took longer than expected +1 +50.0%  r1")
-          .containsPattern("late: the endpoint was known to be busy +1 +50.0%  r2");
+          .containsPattern("late: the endpoint was busy, as expected +1 +50.0%  r2");
     }
 
     @Test
-    void mayHavePausedOnly() {
+    void isClassifiedByALongPause() {
       sent("r1", 1, 0, 100);
       ended("r1", "answered", stream(200, 450, 0, 0));
 
-      assertReason("late: a pause midway");
+      assertReason("late: a pause midway through the answer");
     }
   }
 
   @Nested
-  class LostRequest {
+  class FailedRequest {
 
     @Test
-    void isNamedByItsKind() {
+    void isClassifiedByItsErrorKind() {
       ended("r1", "refused_OVERLOADED", "\"took_ms\":5,\"first_ms\":-1");
 
       assertReason("refused: OVERLOADED");
     }
 
     @Test
-    void ofACallerThatLeftIsToldByWhatItHad() {
+    void isClassifiedByWhenTheCallerLeft() {
       ended("r1", "caller_left", "\"took_ms\":3000,\"first_ms\":-1");
 
-      assertReason("the caller left: before anything came");
+      assertReason("the caller left: before the answer began");
     }
   }
 
@@ -113,7 +113,7 @@
   class Input {
 
     @Test
-    void mayHaveATimeBeforeTheLineAndOtherText() {
+    void ignoresPrefixesAndOtherText() {
       report.read("starting up");
       report.read("{\"event\":\"sent\",\"request\":");
       report.read("  12.5 north-1 {\"event\":\"order\",\"type\":\"LOAD\",\"result\":\"ACCEPTED\"}");
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void requestsWithoutAnEndAreCounted() {
+    void countsRequestsWithoutAnEnd() {
       sent("r1", 1, 0, 100);
 
       assertThat(printed()).contains("1 requests, 1 of them without an end in these lines");
