--- a/daemon/src/main/java/io/sequoiapass/daemon/process/log/EventLog.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/log/EventLog.java
@@ -26,8 +26,8 @@
   private EventLog() {}
 
   /**
-   * Sends all log lines of the process to standard error in one format. Call it before anything
-   * else logs: the log manager is chosen at the first use of a logger.
+   * Configures all log lines of the process to be written to standard error. Must be called before
+   * anything is logged: the log manager is selected at the first use of a logger.
    *
    * @param format the format
    */
@@ -35,7 +35,7 @@
     if (System.getProperty(MANAGER_PROPERTY) == null) {
       System.setProperty(MANAGER_PROPERTY, "org.jboss.logmanager.LogManager");
     }
-    // Netty would else take the SLF4J that a metrics library brings, which is bound to nothing.
+    // Netty would otherwise pick SLF4J, a dependency of the metrics library with no binding.
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     java.util.logging.Logger root = java.util.logging.Logger.getLogger(ROOT_LOGGER);
     for (Handler handler : root.getHandlers()) {
@@ -49,8 +49,8 @@
    * Logs one event.
    *
    * @param event the event
-   * @param arguments what its format asks for; a further {@link Throwable} at the end is logged as
-   *     the event's cause
+   * @param arguments the arguments of its format; an additional trailing {@link Throwable} is logged
+   *     as the event's cause
    */
   public static void log(LogEvent event, Object... arguments) {
     Logger logger = Logger.getLogger(event.id());
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/log/LogFormat.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/log/LogFormat.java
@@ -6,16 +6,16 @@
 import org.jboss.logmanager.formatters.PatternFormatter;
 import org.jboss.logmanager.formatters.StructuredFormatter;
 
-/** Names the formats of a log line. */
+/** Format of log lines. */
 public enum LogFormat {
-  /** One line of text for people. */
+  /** One line of plain text per event. */
   TEXT {
     @Override
     ExtFormatter formatter() {
       return new PatternFormatter("%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5p %c %s%e%n");
     }
   },
-  /** One JSON object a line for log collectors. */
+  /** One JSON object per line, for log collectors. */
   JSON {
     @Override
     ExtFormatter formatter() {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/log/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/log/package-info.java
@@ -1,2 +1,2 @@
-/** Numbered log events and the formats they are written in. */
+/** Numbered log events and their output formats. */
 package io.sequoiapass.daemon.process.log;
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/log/EventLogTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/log/EventLogTest.java
@@ -48,14 +48,14 @@
   }
 
   @Test
-  void textNamesNumberLevelAndMessage() {
+  void textContainsNumberLevelAndMessage() {
     EventLog.log(LogEvent.PRESET_IN_FORCE, "PEAK");
 
     assertThat(logged(LogFormat.TEXT)).endsWith("INFO  SQP-0014 preset PEAK in force\n");
   }
 
   @Test
-  void jsonNamesNumberLevelAndMessage() {
+  void jsonContainsNumberAndMessage() {
     EventLog.log(LogEvent.PRESET_IN_FORCE, "PEAK");
 
     JsonObject line = JsonParser.parseString(logged(LogFormat.JSON)).getAsJsonObject();
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void causeAfterTheArgumentsIsLoggedWithItsTrace() {
+  void trailingThrowableIsLoggedWithItsStackTrace() {
     EventLog.log(LogEvent.INTERNAL_ERROR, "router", new IllegalStateException("full"));
 
     assertThat(records.get(0).getThrown()).hasMessage("full");
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void exceptionThatTheFormatAsksForIsAnArgument() {
+  void throwableInAFormatArgumentIsNotACause() {
     EventLog.log(LogEvent.PLATFORM_UNREACHABLE, new IllegalStateException("cut"));
 
     assertThat(logged(LogFormat.TEXT))
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/log/LogEventTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/log/LogEventTest.java
@@ -16,7 +16,7 @@
 class LogEventTest {
 
   @Test
-  void noNumberIsGivenTwice() {
+  void numbersAreUniqueAndSorted() {
     assertThat(LogEvent.values()).extracting(LogEvent::id).doesNotHaveDuplicates().isSorted();
   }
 
@@ -30,7 +30,7 @@
     assertThat(event.description()).isNotBlank();
   }
 
-  /** An approved number keeps its meaning: alarms of operators hang on it. */
+  /** Numbers must keep their meaning because operators' alerts depend on them. */
   @Test
   void catalogueIsApproved() {
     String catalogue =
