--- a/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/MergedTimeline.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/MergedTimeline.java
@@ -8,15 +8,15 @@
 import java.util.List;
 
 /**
- * Puts the events of several processes in one order, by the reader's clock.
+ * Merge of several processes' events in the order of the reader's clock.
  *
  * <pre>{@code
  * MergedTimeline merged = MergedTimeline.of(sources);
  * merged.lines().forEach(System.out::println);
  * }</pre>
  *
- * <p>Events of one process keep their own order, even if its clock was set back between them.
- * Events of two processes that lie closer than their clocks' uncertainty may stand in either order.
+ * <p>Events of one process keep their order, even if its clock was set back between them. Events of
+ * two processes that are closer than the uncertainty of their clocks may appear in either order.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
@@ -33,22 +33,22 @@
   }
 
   /**
-   * Holds what one process answered, and how its clock stands to ours.
+   * Report of one process and the offset of its clock.
    *
-   * @param report the answer
-   * @param offset its clock's offset
+   * @param report the report
+   * @param offset the offset of its clock
    */
   public record Source(TimelineReport report, ClockOffset offset) {}
 
   /**
-   * Names one process of the merge.
+   * Clock and event counts of one process.
    *
    * @param process the daemon's name
-   * @param aheadMs how far its clock is ahead of the reader's
-   * @param uncertaintyMs the largest error of that
-   * @param recorded how many events it ever recorded
-   * @param overwritten how many of them are gone
-   * @param omitted how many older ones match but are left out for the limit
+   * @param aheadMs how far its clock is ahead of the reader's, in milliseconds
+   * @param uncertaintyMs the maximum error of the offset, in milliseconds
+   * @param recorded number of events recorded since its start
+   * @param overwritten number of them that were overwritten
+   * @param omitted number of matching older events omitted because of the limit
    */
   record ProcessClock(
       String process,
@@ -59,21 +59,21 @@
       long omitted) {}
 
   /**
-   * Holds one event of the merge.
+   * One event of the merge.
    *
-   * @param atMs when, by the reader's clock
-   * @param process whose it is
+   * @param atMs the time, in milliseconds of the reader's clock
+   * @param process the name of the daemon that recorded it
    * @param event the event as recorded
    */
   record Event(long atMs, String process, TimelineReport.Entry event) {}
 
-  /** Names the fields of the JSON form. */
+  /** JSON form of the merge. */
   private record Json(List<ProcessClock> processes, List<Event> events) {}
 
   /**
-   * Returns the merge of what several processes answered.
+   * Merges the reports of several processes.
    *
-   * @param sources the answers
+   * @param sources the reports with the offsets of their clocks
    */
   public static MergedTimeline of(List<Source> sources) {
     List<ProcessClock> processes = new ArrayList<>();
@@ -89,7 +89,7 @@
               report.recorded(),
               report.overwritten(),
               report.omitted()));
-      events.addAll(corrected(report, offset));
+      events.addAll(toReaderClock(report, offset));
     }
     // The sort is stable, so events of one process with the same time keep their order.
     events.sort(Comparator.comparingLong(Event::atMs));
@@ -97,9 +97,10 @@
   }
 
   /**
-   * Moves a process's events to our clock; a clock set back never puts one before its forerunner.
+   * Converts the times of a process's events to the reader's clock; they never decrease, even if
+   * the process's clock was set back.
    */
-  private static List<Event> corrected(TimelineReport report, ClockOffset offset) {
+  private static List<Event> toReaderClock(TimelineReport report, ClockOffset offset) {
     List<TimelineReport.Entry> entries = new ArrayList<>(report.events());
     entries.sort(Comparator.comparingLong(TimelineReport.Entry::sequence));
     List<Event> events = new ArrayList<>();
@@ -111,12 +112,12 @@
     return events;
   }
 
-  /** Returns the merge as JSON: the processes with their clocks' offsets, then the events. */
+  /** Returns the merge as JSON: the processes with their clock offsets, then the events. */
   public String json() {
     return GSON.toJson(new Json(processes, events));
   }
 
-  /** Returns the merge as text: a line for each process's clock, then one for each event. */
+  /** Returns the merge as text: one line per process, then one per event. */
   public List<String> lines() {
     List<String> lines = new ArrayList<>();
     for (ProcessClock process : processes) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/Timeline.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/Timeline.java
@@ -10,14 +10,15 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * Remembers the last events of one process in bounded memory.
+ * Ring buffer of the most recent events of one process.
  *
  * <pre>{@code
  * Timeline timeline = Timeline.create(settings.daemon(), settings.timelineEvents(), MillisClock.wall());
  * timeline.record(TimelineEvent.of(TimelineKind.REQUEST_ACCEPTED).request(id).build());
  * }</pre>
  *
- * <p>Safe for use by several threads; recording takes no lock, so it may be done under a shard's.
+ * <p>Safe for use by several threads. Recording takes no lock, so events may be recorded while a
+ * shard's lock is held.
  */
 public final class Timeline {
 
@@ -33,10 +34,10 @@
   }
 
   /**
-   * Returns an empty time line.
+   * Creates an empty timeline.
    *
-   * @param process the daemon it belongs to
-   * @param capacity how many events it holds; the oldest are overwritten
+   * @param process the daemon that it belongs to
+   * @param capacity the maximum number of events; the oldest are overwritten
    * @param wall the wall clock
    */
   public static Timeline create(DaemonId process, int capacity, MillisClock wall) {
@@ -48,14 +49,14 @@
   }
 
   /**
-   * Records an event, with the time and the next sequence.
+   * Records an event with the current time and the next sequence number.
    *
    * @param event the event
    */
   public void record(TimelineEvent event) {
     long sequence = recorded.incrementAndGet();
-    TimelineEvent placed = event.at(wall.millis(), sequence);
-    ring.accumulateAndGet(slot(sequence), placed, Timeline::newer);
+    TimelineEvent stamped = event.stamped(wall.millis(), sequence);
+    ring.accumulateAndGet(slot(sequence), stamped, Timeline::newer);
   }
 
   private int slot(long sequence) {
@@ -63,16 +64,16 @@
   }
 
   /**
-   * A thread held up between taking its sequence and writing it may come a whole turn of the ring
-   * late. Its old event would then hide a newer one; keeping the newer loses only the old event,
-   * which the ring would have overwritten anyway.
+   * Returns the event with the higher sequence number. A thread that is delayed between taking its
+   * number and writing may write after the ring has wrapped around, and its old event would replace
+   * a newer one. Keeping the newer loses only an event that would have been overwritten anyway.
    */
   private static TimelineEvent newer(TimelineEvent held, TimelineEvent given) {
     return held == null || held.sequence() < given.sequence() ? given : held;
   }
 
   /**
-   * Returns the events that a query selects, in the order of their sequence and without its limit.
+   * Returns the events that match a query, by sequence number; the query's limit is not applied.
    *
    * @param query the query
    */
@@ -89,7 +90,7 @@
   }
 
   /**
-   * Returns the answer to {@code GET /timeline}.
+   * Returns the response body of {@code GET /timeline}.
    *
    * @param query the query
    */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/TimelineEvent.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/TimelineEvent.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /**
- * Describes one thing that happened in one process.
+ * One event in one process.
  *
  * <pre>{@code
  * timeline.record(TimelineEvent.of(TimelineKind.LOAD_DONE)
@@ -19,14 +19,14 @@
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
- * @param kind what happened
- * @param wallMs when, by the wall clock of the process; 0 until the time line sets it
- * @param sequence the event's place in its time line; 0 until the time line sets it
- * @param request the request it belongs to
- * @param adapter the adapter and version it is about
- * @param endpoint the endpoint it is about
- * @param cause what it came from
- * @param detail further words, perhaps empty
+ * @param kind the kind of event
+ * @param wallMs the time, in milliseconds of the process's wall clock; 0 until it is recorded
+ * @param sequence the event's sequence number in its timeline; 0 until it is recorded
+ * @param request the request that it belongs to
+ * @param adapter the adapter version concerned
+ * @param endpoint the endpoint concerned
+ * @param cause what caused it
+ * @param detail further text, possibly empty
  */
 public record TimelineEvent(
     TimelineKind kind,
@@ -38,10 +38,10 @@
     Optional<CauseId> cause,
     String detail) {
 
-  /** Longest detail, so that the memory of a time line is bounded. */
+  /** Maximum length of a detail, in characters; bounds the memory of a timeline. */
   static final int MAX_DETAIL = 200;
 
-  /** Checks that all parts are there and cuts the detail to its bound. */
+  /** Checks that no component is null and truncates the detail to its maximum length. */
   public TimelineEvent {
     Objects.requireNonNull(kind, "kind");
     Objects.requireNonNull(request, "request");
@@ -55,14 +55,15 @@
   /**
    * Returns a builder of an event.
    *
-   * @param kind what happened
+   * @param kind the kind of event
    */
   public static Builder of(TimelineKind kind) {
     return new Builder(kind);
   }
 
-  TimelineEvent at(long wall, long place) {
-    return new TimelineEvent(kind, wall, place, request, adapter, endpoint, cause, detail);
+  /** Returns the event with its time and sequence number set. */
+  TimelineEvent stamped(long wall, long number) {
+    return new TimelineEvent(kind, wall, number, request, adapter, endpoint, cause, detail);
   }
 
   /** Builds an event; not safe for use by several threads. */
@@ -90,9 +91,9 @@
     }
 
     /**
-     * Sets the adapter and version.
+     * Sets the adapter version.
      *
-     * @param id the adapter and version
+     * @param id the adapter version
      */
     public Builder adapter(AdapterVersion id) {
       adapter = Optional.of(id);
@@ -110,7 +111,7 @@
     }
 
     /**
-     * Sets what the event came from.
+     * Sets the cause of the event.
      *
      * @param id the cause
      */
@@ -120,12 +121,12 @@
     }
 
     /**
-     * Sets further words.
+     * Sets the detail.
      *
-     * @param words the words; cut to 200 characters
+     * @param text the detail; truncated to 200 characters
      */
-    public Builder detail(String words) {
-      detail = words;
+    public Builder detail(String text) {
+      detail = text;
       return this;
     }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/TimelineKind.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/TimelineKind.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.daemon.process.timeline;
 
-/** Lists the kinds of events that a time line holds. */
+/** Kinds of timeline events. */
 public enum TimelineKind {
   /** A request was accepted from a caller. */
   REQUEST_ACCEPTED,
@@ -16,15 +16,15 @@
   REQUEST_FIRST_TOKEN,
   /** An attempt failed and another one follows. */
   REQUEST_RETRIED,
-  /** A stream goes on through another owner. */
+  /** A stream continues through another owner. */
   REQUEST_RESUMED,
-  /** The caller got the whole answer. */
+  /** The complete answer was sent to the caller. */
   REQUEST_ANSWERED,
   /** The caller was told that the request did not run. */
   REQUEST_NOT_RUN,
   /** The caller was told that the request may have run. */
   REQUEST_UNKNOWN,
-  /** The caller went away or the deadline passed. */
+  /** The caller disconnected or the deadline passed. */
   REQUEST_CANCELLED,
   /** An order was sent to an endpoint. */
   ORDER_SENT,
@@ -34,7 +34,7 @@
   ORDER_REFUSED,
   /** A load began. */
   LOAD_STARTED,
-  /** A load ended well. */
+  /** A load succeeded. */
   LOAD_DONE,
   /** A load failed. */
   LOAD_FAILED,
@@ -44,38 +44,38 @@
   LEASE_ACQUIRED,
   /** The lease was renewed late. */
   LEASE_LATE,
-  /** The lease lapsed. */
+  /** The lease expired. */
   LEASE_LOST,
   /** The process was paused. */
   PROCESS_PAUSED,
   /** The ownership table changed. */
   OWNERSHIP_CHANGED,
-  /** An endpoint came to this daemon. */
+  /** This daemon took over an endpoint. */
   ENDPOINT_TAKEN_OVER,
-  /** An endpoint went to another daemon. */
+  /** An endpoint was handed over to another daemon. */
   ENDPOINT_RELEASED,
   /** An endpoint has no live owner. */
   ENDPOINT_ORPHANED,
-  /** An engine restarted empty. */
+  /** An engine restarted without adapters. */
   ENGINE_RESTARTED,
-  /** A configuration came into force. */
+  /** A configuration was applied. */
   CONFIGURATION_APPLIED,
-  /** The hosts that the platform lists as leaving or gone changed. */
+  /** The set of hosts that the platform lists as leaving or absent changed. */
   HOSTS_CHANGED,
   /** A preset came into force. */
   PRESET_IN_FORCE,
   /** The platform stopped answering. */
   PLATFORM_UNREACHABLE,
-  /** The platform answers again. */
+  /** The platform is reachable again. */
   PLATFORM_BACK,
-  /** A peer link opened. */
+  /** A connection to a peer opened. */
   PEER_CONNECTED,
-  /** A peer link closed. */
+  /** A connection to a peer closed. */
   PEER_LOST,
   /** A planned stop began. */
   DRAINING,
   /** A frame or an answer did not match its request. */
   MISMATCH,
-  /** Something else went wrong. */
+  /** Another fault occurred. */
   FAULT
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/TimelineQuery.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/TimelineQuery.java
@@ -10,7 +10,7 @@
 import java.util.function.Function;
 
 /**
- * Selects events of a time line by request, adapter, endpoint, kind and time.
+ * Filter for timeline events by request, adapter, endpoint, kind and time.
  *
  * <pre>{@code
  * TimelineQuery query = TimelineQuery.parse(httpRequest::query);
@@ -22,8 +22,8 @@
 public final class TimelineQuery {
 
   /**
-   * Events in one answer unless the query says otherwise. The answer is written on an event loop
-   * that carries requests too: a whole ring would hold them up for many milliseconds.
+   * Most events in one answer unless the query sets another limit. The answer is written on an
+   * event loop that also serves requests: a full ring would delay them by many milliseconds.
    */
   static final int DEFAULT_LIMIT = 2_000;
 
@@ -66,12 +66,12 @@
   }
 
   /**
-   * Returns the query that named filters give: {@code since} and {@code until} in milliseconds of
+   * Parses a query from named filters: {@code since} and {@code until} in milliseconds of
    * the wall clock, {@code request}, {@code adapter} (with or without {@code @version}), {@code
    * endpoint}, {@code kind} (several separated by commas), and {@code limit}.
    *
-   * @param filters gives the text of a filter, or nothing
-   * @throws InvalidQueryException if a filter's value is not allowed
+   * @param filters returns the text of a filter, or empty if it is not given
+   * @throws InvalidQueryException if the value of a filter is invalid
    */
   public static TimelineQuery parse(Function<String, Optional<String>> filters)
       throws InvalidQueryException {
@@ -130,7 +130,7 @@
     throw new InvalidQueryException("kind", name, Arrays.toString(TimelineKind.values()));
   }
 
-  /** Returns how many events one answer holds at most: the newest ones. */
+  /** Returns the maximum number of events in one answer; the newest are kept. */
   int limit() {
     return limit;
   }
@@ -144,7 +144,7 @@
         && (adapter.isEmpty() || event.adapter().filter(this::isAdapter).isPresent());
   }
 
-  /** A caller knows its own id only; ours begins with it. */
+  /** Matches the full id or the caller's own id, which is the first part of it. */
   private boolean isRequest(RequestId id) {
     String wanted = request.orElseThrow();
     return id.value().equals(wanted) || RequestIds.callerIdOf(id).equals(wanted);
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/TimelineReport.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/TimelineReport.java
@@ -6,16 +6,16 @@
 import java.util.List;
 
 /**
- * Holds what one process answers to {@code GET /timeline}.
+ * Response body of {@code GET /timeline}.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param process the daemon's name
- * @param nowMs its wall clock when it answered; from it the reader estimates the clock's offset
- * @param recorded how many events it ever recorded
- * @param overwritten how many of them it no longer holds
- * @param omitted how many events match but are left out for the limit, all older than those given
- * @param events the events that match, in the order of their sequence
+ * @param nowMs its wall clock at the time of the answer, for estimating its offset
+ * @param recorded number of events recorded since its start
+ * @param overwritten number of them that were overwritten
+ * @param omitted number of matching events omitted because of the limit, all older than those given
+ * @param events the matching events, by sequence number
  */
 public record TimelineReport(
     String process, long nowMs, long recorded, long overwritten, long omitted, List<Entry> events) {
@@ -23,16 +23,16 @@
   private static final Gson GSON = new GsonBuilder().disableHtmlEscaping().create();
 
   /**
-   * Holds one event as JSON gives it; absent parts are null.
+   * One event in its JSON form; absent values are null.
    *
-   * @param sequence the event's place
-   * @param wallMs when, by the process's wall clock
-   * @param kind the name of its kind; a string, so that a reader takes kinds of newer processes
+   * @param sequence the event's sequence number
+   * @param wallMs the time, in milliseconds of the process's wall clock
+   * @param kind the name of its kind; a string, so that readers accept kinds of newer processes
    * @param request the request
-   * @param adapter the adapter and version
+   * @param adapter the adapter version
    * @param endpoint the endpoint
-   * @param cause what it came from
-   * @param detail further words
+   * @param cause what caused it
+   * @param detail further text
    */
   public record Entry(
       long sequence,
@@ -62,15 +62,15 @@
   }
 
   /**
-   * Returns the report that a process answered with.
+   * Parses a report from JSON.
    *
-   * @param json the body of its answer
-   * @throws JsonSyntaxException if the text is no report
+   * @param json the response body
+   * @throws JsonSyntaxException if the text is not a report
    */
   public static TimelineReport parse(String json) {
     TimelineReport report = GSON.fromJson(json, TimelineReport.class);
     if (report == null || report.process == null || report.events == null) {
-      throw new JsonSyntaxException("no time line report: " + json);
+      throw new JsonSyntaxException("not a timeline report: " + json);
     }
     return report;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/package-info.java
@@ -1,2 +1,2 @@
-/** The events that one process remembers, and the merge of what several processes remember. */
+/** Timelines: the recent events of one process, and the merge of several processes' timelines. */
 package io.sequoiapass.daemon.process.timeline;
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/timeline/MergedTimelineTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/timeline/MergedTimelineTest.java
@@ -33,18 +33,19 @@
   class Order {
 
     /**
-     * An operator looks for the cause of a failure. The second daemon's clock is 5 s ahead, so by
-     * bare wall times its first event would stand after everything that followed from it.
+     * Guards against a merge by uncorrected wall times: with the second daemon's clock 5 s ahead,
+     * its first event would appear after its effects.
      */
     @Test
-    void eventsStandInTheOrderOfTheReadersClock() {
+    void eventsAreInTheOrderOfTheReadersClock() {
       assertThat(order(source("a", 0, 1_000, 1_020), source("b", 5_000, 6_010, 6_030)))
           .containsExactly("a#1", "b#1", "a#2", "b#2");
     }
 
     /**
-     * A host's clock is set back by a second between two events. Sorted by time alone the effect
-     * would stand before its cause; the sequence of one process is always right.
+     * Guards against a merge by time alone: if a host's clock is set back by 1 s between two events,
+     * the effect would appear before its cause. The sequence numbers of a process are always in
+     * order.
      */
     @Test
     void clockSetBackDoesNotReorderAProcess() {
@@ -54,7 +55,7 @@
   }
 
   @Test
-  void clocksAndLossesAreShown() {
+  void linesShowClockOffsetsAndEventCounts() {
     TimelineReport report = new TimelineReport("a", 0, 150, 50, 7, List.of());
     MergedTimeline merged =
         MergedTimeline.of(List.of(new MergedTimeline.Source(report, new ClockOffset(-12, 3))));
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/timeline/TimelineTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/timeline/TimelineTest.java
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void threadsLoseNoneOfTheLastEvents() throws Exception {
+  void concurrentRecordingLosesNoRecentEvent() throws Exception {
     int threads = 4;
     int each = 20_000;
     int capacity = 512;
@@ -81,12 +81,12 @@
   }
 
   /**
-   * A thread takes its sequence and is held up before it writes, while others record a whole turn
-   * of the ring. An operator who looks for the last events would find an old one in a newer one's
-   * place.
+   * A thread takes its sequence number and is delayed before it writes, while other threads record
+   * enough events to wrap around the ring. Its old event must not replace a newer one, or an
+   * operator would not find the latest events.
    */
   @Test
-  void eventThatComesAWholeTurnLateDoesNotHideANewerOne() {
+  void eventWrittenAfterAWraparoundDoesNotReplaceANewerOne() {
     AtomicReference<Timeline> held = new AtomicReference<>();
     AtomicBoolean first = new AtomicBoolean(true);
     Timeline timeline =
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void longDetailIsCut() {
+  void longDetailIsTruncated() {
     TimelineEvent event = TimelineEvent.of(TimelineKind.FAULT).detail("x".repeat(900)).build();
 
     assertThat(event.detail()).hasSize(200);
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void aRequestIsFoundByTheNameThatItsCallerGave() throws InvalidQueryException {
+    void requestIsFoundByTheCallersOwnId() throws InvalidQueryException {
       timeline.record(
           TimelineEvent.of(TimelineKind.FAULT).request(new RequestId("slip-7~d1.abc.2")).build());
       assertThat(found(Map.of("request", "slip-7"))).hasSize(1);
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void filtersSelect() throws InvalidQueryException {
+    void filtersSelectMatchingEvents() throws InvalidQueryException {
       recordThree();
 
       assertThat(found(Map.of())).containsExactly(1L, 2L, 3L);
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void wrongFilterNamesItsValueAndWhatIsAllowed() {
+    void invalidFilterIsReportedWithItsValueAndWhatIsAllowed() {
       assertThatThrownBy(() -> found(Map.of("kind", "FALUT")))
           .hasMessageStartingWith("kind: 'FALUT' is wrong; allowed: [REQUEST_ACCEPTED, ");
       assertThatThrownBy(() -> found(Map.of("since", "noon")))
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void limitKeepsTheNewestAndTellsHowManyItLeftOut() throws InvalidQueryException {
+    void limitKeepsTheNewestAndCountsTheOmitted() throws InvalidQueryException {
       recordThree();
       Map<String, String> filters = Map.of("limit", "1", "until", "2999");
       TimelineQuery query = TimelineQuery.parse(name -> Optional.ofNullable(filters.get(name)));
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void jsonIsReadBack() {
+    void jsonRoundTrips() {
       recordThree();
 
       TimelineReport report = TimelineReport.parse(timeline.json(TimelineQuery.ALL));
