--- a/daemon/src/main/java/io/sequoiapass/daemon/process/settings/Addresses.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/settings/Addresses.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads addresses of the form {@code host:port}, where the host is an IP number or {@code
+ * Parser for addresses of the form {@code host:port}, where the host is an IP address or {@code
  * localhost}.
  *
  * <pre>{@code
@@ -18,12 +18,12 @@
  */
 public final class Addresses {
 
-  /** What a single address may look like, for messages. */
-  public static final String ALLOWED = "IP number or localhost, a colon, a port 1 to 65535";
+  /** Description of an allowed address, for error messages. */
+  public static final String ALLOWED = "IP address or localhost, a colon, a port 1 to 65535";
 
   /**
-   * Only literal addresses: a host name would be looked up while the settings are read, and a slow
-   * name server would then look like a process that does not start.
+   * Literal addresses only: resolving a host name while settings are read could block on a slow name
+   * server, and the process would appear not to start.
    */
   private static final Pattern ADDRESS =
       Pattern.compile("(localhost|[0-9]{1,3}(?:\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:.]+]):([0-9]{1,5})");
@@ -38,11 +38,11 @@
   private Addresses() {}
 
   /**
-   * Returns the address that a text names.
+   * Parses one address.
    *
-   * @param setting the setting's name, for the message
-   * @param text the text
-   * @throws SettingsException if the text names no address
+   * @param setting the name of the setting, for the error message
+   * @param text the text to parse
+   * @throws SettingsException if the text is not an address
    */
   public static InetSocketAddress parse(String setting, String text) throws SettingsException {
     Matcher matcher = ADDRESS.matcher(text);
@@ -57,11 +57,11 @@
   }
 
   /**
-   * Returns the addresses that a text names, separated by commas.
+   * Parses a comma-separated list of addresses.
    *
-   * @param setting the setting's name, for the message
-   * @param text the text
-   * @throws SettingsException if a part names no address
+   * @param setting the name of the setting, for the error message
+   * @param text the text to parse
+   * @throws SettingsException if a part is not an address
    */
   public static List<InetSocketAddress> parseList(String setting, String text)
       throws SettingsException {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/settings/EntrySettings.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/settings/EntrySettings.java
@@ -22,7 +22,7 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * Holds the checked settings of one entry daemon.
+ * Validated settings of one entry daemon.
  *
  * <pre>{@code
  * EntrySettings settings = EntrySettings.parse(List.of("--id", "entry-1", ...), System.getenv());
@@ -44,11 +44,11 @@
   }
 
   /**
-   * Returns the settings that flags and environment variables give; a flag goes before a variable.
+   * Parses settings from flags and environment variables; a flag takes precedence over a variable.
    *
    * @param arguments the flags
    * @param environment the environment variables
-   * @throws SettingsException if a setting is missing or wrong
+   * @throws SettingsException if a setting is missing or invalid
    */
   public static EntrySettings parse(List<String> arguments, Map<String, String> environment)
       throws SettingsException {
@@ -58,7 +58,7 @@
       values.put(setting, value(setting, line, environment));
     }
     EntrySettings settings = new EntrySettings(values);
-    settings.checkTogether();
+    settings.checkDependencies();
     return settings;
   }
 
@@ -72,15 +72,15 @@
       if (!line.getArgList().isEmpty()) {
         throw SettingsException.unreadable("not a flag: '" + line.getArgList().get(0) + "'");
       }
-      refuseRepeated(line);
+      rejectRepeated(line);
       return line;
     } catch (ParseException e) {
       throw SettingsException.unreadable(e.getMessage());
     }
   }
 
-  /** Two values for one setting would leave open which one holds. */
-  private static void refuseRepeated(CommandLine line) throws SettingsException {
+  /** Rejects a setting that is given more than once, since it is unclear which value applies. */
+  private static void rejectRepeated(CommandLine line) throws SettingsException {
     for (Setting setting : Setting.values()) {
       String[] given = line.getOptionValues(setting.option());
       if (given != null && given.length > 1) {
@@ -109,10 +109,10 @@
     return value;
   }
 
-  /** Checks the settings whose range depends on another one. */
-  private void checkTogether() throws SettingsException {
-    atMost(Setting.LEASE_MARGIN_MS, (leaseDurationMs() - 1) / 2);
-    atMost(Setting.HEARTBEAT_INTERVAL_MS, leaseDurationMs() / 3);
+  /** Checks the settings whose allowed values depend on another setting. */
+  private void checkDependencies() throws SettingsException {
+    requireAtMost(Setting.LEASE_MARGIN_MS, (leaseDurationMs() - 1) / 2);
+    requireAtMost(Setting.HEARTBEAT_INTERVAL_MS, leaseDurationMs() / 3);
     if (number(Setting.MAX_QUEUED_PER_SERVICE) > number(Setting.MAX_QUEUED)) {
       throw SettingsException.wrongValue(
           Setting.MAX_QUEUED_PER_SERVICE.names(),
@@ -129,7 +129,7 @@
     }
   }
 
-  private void atMost(Setting setting, long bound) throws SettingsException {
+  private void requireAtMost(Setting setting, long bound) throws SettingsException {
     if (number(setting) > bound) {
       String allowed =
           setting.minimum() + " to " + bound + " ms at --lease-duration-ms " + leaseDurationMs();
@@ -143,7 +143,7 @@
     PrintWriter out = new PrintWriter(text);
     out.print("usage: sequoiapass entry --id NAME --data-centre NAME --host NAME");
     out.print(" --platform HOST:PORT [flags]\n\n");
-    out.print("Runs one entry daemon until it is told to stop.\n\n");
+    out.print("Runs one entry daemon until it is stopped.\n\n");
     for (Setting setting : Setting.values()) {
       String standard = setting.defaultValue();
       out.print("  " + setting.flag() + " (" + setting.variable() + ")\n");
@@ -163,12 +163,12 @@
     return new DaemonId(values.get(Setting.ID));
   }
 
-  /** Returns the data centre that this process runs in. */
+  /** Returns this process's data centre. */
   public DataCentreId dataCentre() {
     return new DataCentreId(values.get(Setting.DATA_CENTRE));
   }
 
-  /** Returns the host that this process runs on. */
+  /** Returns this process's host. */
   public HostId host() {
     return new HostId(values.get(Setting.HOST));
   }
@@ -178,17 +178,17 @@
     return values.get(Setting.LISTEN_ADDRESS);
   }
 
-  /** Returns the port for callers; 0 for any free one. */
+  /** Returns the port for callers; 0 selects a free port. */
   public int callerPort() {
     return Math.toIntExact(number(Setting.CALLER_PORT));
   }
 
-  /** Returns the port for operators; 0 for any free one. */
+  /** Returns the port for operators; 0 selects a free port. */
   public int operatorPort() {
     return Math.toIntExact(number(Setting.OPERATOR_PORT));
   }
 
-  /** Returns the port for other daemons; 0 for any free one. */
+  /** Returns the port for other daemons; 0 selects a free port. */
   public int peerPort() {
     return Math.toIntExact(number(Setting.PEER_PORT));
   }
@@ -208,44 +208,44 @@
     return LogFormat.valueOf(values.get(Setting.LOG_FORMAT).toUpperCase(Locale.ROOT));
   }
 
-  /** Returns what the placement of adapters weighs. */
+  /** Returns the weights of the placement of adapters. */
   public PlacementWeights placementWeights() {
     return values.get(Setting.PLACEMENT_PREFERENCE).equals("batches")
         ? PlacementWeights.BATCHES
         : PlacementWeights.STALLS;
   }
 
-  /** Returns how adapters are placed. */
+  /** Returns the placement policy for adapters. */
   public PlacementPolicy placementPolicy() {
     return PlacementPolicy.valueOf(values.get(Setting.PLACEMENT_POLICY).toUpperCase(Locale.ROOT));
   }
 
-  /** Returns how long the lease lasts after its last renewal, in milliseconds. */
+  /** Returns the duration of the lease after its last renewal, in milliseconds. */
   public long leaseDurationMs() {
     return number(Setting.LEASE_DURATION_MS);
   }
 
-  /** Returns how long before its lease lapses a daemon stops giving orders, in milliseconds. */
+  /** Returns how long before its lease expires a daemon stops sending orders, in milliseconds. */
   public long leaseMarginMs() {
     return number(Setting.LEASE_MARGIN_MS);
   }
 
-  /** Returns how often a heartbeat is sent, in milliseconds. */
+  /** Returns the heartbeat interval, in milliseconds. */
   public long heartbeatIntervalMs() {
     return number(Setting.HEARTBEAT_INTERVAL_MS);
   }
 
-  /** Returns the deadline of a request that names none, in milliseconds from arrival. */
+  /** Returns the deadline of a request that sets none, in milliseconds from its arrival. */
   public long requestDeadlineMs() {
     return number(Setting.REQUEST_DEADLINE_MS);
   }
 
-  /** Returns the retries allowed for each hundred first attempts. */
+  /** Returns the number of retries allowed per hundred first attempts. */
   public int retryBudgetPercent() {
     return Math.toIntExact(number(Setting.RETRY_BUDGET_PERCENT));
   }
 
-  /** Returns the limits of what waits on ordinary days, or empty if nothing is limited. */
+  /** Returns the queue limits under the ordinary preset, or empty if admission control is off. */
   public Optional<AdmissionSettings> admission() {
     if (!Boolean.parseBoolean(values.get(Setting.ADMISSION))) {
       return Optional.empty();
@@ -256,32 +256,32 @@
             Math.toIntExact(number(Setting.MAX_QUEUED_PER_SERVICE))));
   }
 
-  /** Returns how long an idempotency key is remembered, in milliseconds. */
+  /** Returns the retention period of idempotency keys, in milliseconds. */
   public long ledgerRetentionMs() {
     return number(Setting.LEDGER_RETENTION_MS);
   }
 
-  /** Returns whether the operators say that no earlier fleet kept keys. */
+  /** Returns whether the operators declare that no earlier fleet has recorded idempotency keys. */
   public boolean ledgerFirstInstall() {
     return Boolean.parseBoolean(values.get(Setting.LEDGER_FIRST_INSTALL));
   }
 
-  /** Returns the largest body of a request, in bytes. */
+  /** Returns the maximum size of a request body, in bytes. */
   public int maxBodyBytes() {
     return Math.toIntExact(number(Setting.MAX_BODY_BYTES));
   }
 
-  /** Returns how many events the time line holds. */
+  /** Returns the capacity of the timeline, in events. */
   public int timelineEvents() {
     return Math.toIntExact(number(Setting.TIMELINE_EVENTS));
   }
 
-  /** Returns how long a planned stop waits for requests under way, in milliseconds. */
+  /** Returns how long a planned stop waits for requests in flight, in milliseconds. */
   public long drainLimitMs() {
     return number(Setting.DRAIN_LIMIT_MS);
   }
 
-  /** Returns the number of event loops and of shards. */
+  /** Returns the number of event loops and shards. */
   public int threads() {
     return Math.toIntExact(number(Setting.THREADS));
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/settings/PeerAddress.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/settings/PeerAddress.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 
 /**
- * Tells where another daemon listens for its peers.
+ * Address on which another daemon listens for its peers.
  *
  * <p>Instances are immutable and safe for use by several threads.
  *
@@ -16,7 +16,7 @@
  */
 public record PeerAddress(DaemonId daemon, DataCentreId dataCentre, InetSocketAddress address) {
 
-  /** Checks that all parts are there. */
+  /** Checks that no component is null. */
   public PeerAddress {
     Objects.requireNonNull(daemon, "daemon");
     Objects.requireNonNull(dataCentre, "dataCentre");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/settings/SettingType.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/settings/SettingType.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Says how the text of a setting is checked. */
+/** Type of a setting's value, with its validation. */
 enum SettingType {
-  /** A name of the system: daemon, data centre or host. */
+  /** A name of a daemon, data centre or host. */
   NAME {
     @Override
     String allowed(Setting setting) {
@@ -20,11 +20,11 @@
     @Override
     void check(Setting setting, String text) throws SettingsException {
       if (!text.matches("[!-~&&[^,@=]]{1,200}")) {
-        throw wrong(setting, text);
+        throw invalid(setting, text);
       }
     }
   },
-  /** A whole number in a range. */
+  /** An integer in a range. */
   NUMBER {
     @Override
     String allowed(Setting setting) {
@@ -37,24 +37,24 @@
       try {
         number = Long.parseLong(text);
       } catch (NumberFormatException e) {
-        throw wrong(setting, text);
+        throw invalid(setting, text);
       }
       if (number < setting.minimum() || number > setting.maximum()) {
-        throw wrong(setting, text);
+        throw invalid(setting, text);
       }
     }
   },
-  /** An IP number to listen on. */
+  /** An IP address to listen on. */
   LISTEN_ADDRESS {
     @Override
     String allowed(Setting setting) {
-      return "an IP number of this host, 0.0.0.0 for all, or localhost";
+      return "an IP address of this host, 0.0.0.0 for all, or localhost";
     }
 
     @Override
     void check(Setting setting, String text) throws SettingsException {
       if (!Addresses.isLiteral(text)) {
-        throw wrong(setting, text);
+        throw invalid(setting, text);
       }
     }
   },
@@ -70,7 +70,7 @@
       Addresses.parse(setting.names(), text);
     }
   },
-  /** Other daemons and their peer addresses. */
+  /** A list of other daemons with their peer addresses. */
   PEERS {
     @Override
     String allowed(Setting setting) {
@@ -82,7 +82,7 @@
       parsePeers(setting, text);
     }
   },
-  /** Yes or no. */
+  /** A boolean. */
   SWITCH {
     @Override
     String allowed(Setting setting) {
@@ -92,7 +92,7 @@
     @Override
     void check(Setting setting, String text) throws SettingsException {
       if (!text.equals("true") && !text.equals("false")) {
-        throw wrong(setting, text);
+        throw invalid(setting, text);
       }
     }
   },
@@ -109,11 +109,11 @@
           Arrays.stream(LogFormat.values())
               .anyMatch(format -> format.name().toLowerCase(Locale.ROOT).equals(text));
       if (!known) {
-        throw wrong(setting, text);
+        throw invalid(setting, text);
       }
     }
   },
-  /** What the placement weighs more heavily. */
+  /** What the placement of adapters weighs more heavily. */
   PREFERENCE {
     @Override
     String allowed(Setting setting) {
@@ -123,11 +123,11 @@
     @Override
     void check(Setting setting, String text) throws SettingsException {
       if (!text.equals("stalls") && !text.equals("batches")) {
-        throw wrong(setting, text);
+        throw invalid(setting, text);
       }
     }
   },
-  /** A placement. */
+  /** A placement policy. */
   POLICY {
     @Override
     String allowed(Setting setting) {
@@ -137,15 +137,15 @@
     @Override
     void check(Setting setting, String text) throws SettingsException {
       if (!text.equals("adaptive") && !text.equals("lru")) {
-        throw wrong(setting, text);
+        throw invalid(setting, text);
       }
     }
   };
 
-  /** Returns what a setting of this type may hold, for messages and pages. */
+  /** Returns the description of allowed values, for error messages and documentation. */
   abstract String allowed(Setting setting);
 
-  /** Throws if the text is not allowed. */
+  /** Throws an exception if the text is not an allowed value. */
   abstract void check(Setting setting, String text) throws SettingsException;
 
   static List<PeerAddress> parsePeers(Setting setting, String text) throws SettingsException {
@@ -156,7 +156,7 @@
     for (String part : text.split(",", -1)) {
       PeerAddress peer = parsePeer(setting, part.strip());
       if (peers.stream().anyMatch(known -> known.daemon().equals(peer.daemon()))) {
-        throw wrong(setting, part);
+        throw invalid(setting, part);
       }
       peers.add(peer);
     }
@@ -167,7 +167,7 @@
     int at = part.indexOf('@');
     int equals = part.indexOf('=');
     if (at <= 0 || equals <= at + 1) {
-      throw wrong(setting, part);
+      throw invalid(setting, part);
     }
     String daemon = part.substring(0, at);
     String dataCentre = part.substring(at + 1, equals);
@@ -179,7 +179,7 @@
         Addresses.parse(setting.names(), part.substring(equals + 1)));
   }
 
-  private static SettingsException wrong(Setting setting, String text) {
+  private static SettingsException invalid(Setting setting, String text) {
     return SettingsException.wrongValue(setting.names(), text, setting.allowed());
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/settings/SettingsException.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/settings/SettingsException.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.daemon.process.settings;
 
-/** Tells which setting is wrong, its value, and what is allowed; commands exit 2 on it. */
+/** Thrown for a missing or invalid setting; commands exit with code 2 on it. */
 public final class SettingsException extends Exception {
 
   private static final long serialVersionUID = 1L;
@@ -10,10 +10,10 @@
   }
 
   /**
-   * Returns the failure of a setting whose value is not allowed.
+   * Creates the exception for a setting whose value is not allowed.
    *
-   * @param setting the flag, and the environment variable where there is one
-   * @param value the value that was given
+   * @param setting the flag, and the environment variable if there is one
+   * @param value the given value
    * @param allowed what is allowed
    */
   public static SettingsException wrongValue(String setting, String value, String allowed) {
@@ -21,9 +21,9 @@
   }
 
   /**
-   * Returns the failure of a setting that has to be given and was not.
+   * Creates the exception for a required setting that is not given.
    *
-   * @param setting the flag, and the environment variable where there is one
+   * @param setting the flag, and the environment variable if there is one
    * @param allowed what is allowed
    */
   public static SettingsException missing(String setting, String allowed) {
@@ -31,9 +31,9 @@
   }
 
   /**
-   * Returns the failure of a command line that cannot be read as flags and values.
+   * Creates the exception for a command line that cannot be parsed.
    *
-   * @param message what is wrong
+   * @param message the error
    */
   public static SettingsException unreadable(String message) {
     return new SettingsException(message);
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/settings/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings of a process: flags and environment variables, checked before anything starts. */
+/** Settings of a process: flags and environment variables, validated before the process starts. */
 package io.sequoiapass.daemon.process.settings;
