--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ApplyCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ApplyCommand.java
@@ -12,14 +12,14 @@
 import java.util.UUID;
 
 /**
- * Brings a configuration file into force.
+ * Applies a configuration file to the platform.
  *
- * <p>The file is checked whole, then against the platform, before the first write. Each write is
- * conditional on the version that was compared. Running it again writes only what is still missing.
+ * <p>The complete file is validated, then checked against the platform, before the first write. Each
+ * write is conditional on the version that was compared. A repeated run writes only what is missing.
  */
 final class ApplyCommand {
 
-  /** A file beyond that holds more than the letter's 27,000 adapters with room to spare. */
+  /** Ample for a file with the 27,000 adapters of the largest expected installation. */
   private static final long MAX_FILE_BYTES = 64L << 20;
 
   private ApplyCommand() {}
@@ -35,7 +35,7 @@
       PlatformSession platform = new PlatformSession(client, platformAddress);
       long presetAtMs = MillisClock.wall().millis() + delayMs;
       List<Change> changes = new ChangePlan(file, platform).changes(presetAtMs);
-      changes.forEach(change -> invocation.out().println(change.shown()));
+      changes.forEach(change -> invocation.out().println(change.description()));
       return finish(invocation, platform, changes);
     } catch (FileProblem e) {
       throw new CommandException(
@@ -62,7 +62,7 @@
       throws CommandException {
     PrintStream out = invocation.out();
     if (changes.isEmpty()) {
-      out.println("all is as the file asks; nothing to change");
+      out.println("the platform matches the file; nothing to change");
     } else if (invocation.has(CommandFlag.DRY_RUN)) {
       out.println("dry run: " + changes.size() + " changes not written");
     } else {
@@ -79,7 +79,7 @@
       try {
         write(platform, changes.get(i), new OperationId(run + i));
       } catch (CommandException e) {
-        throw new CommandException(e.exitCode(), partial(changes, i, e.getMessage()));
+        throw new CommandException(e.exitCode(), partialResult(changes, i, e.getMessage()));
       }
     }
   }
@@ -93,8 +93,8 @@
     }
   }
 
-  /** Says what was written before a write failed, and what was not. */
-  private static String partial(List<Change> changes, int failed, String reason) {
+  /** Returns a message that lists the writes before and after a failed one. */
+  private static String partialResult(List<Change> changes, int failed, String reason) {
     StringBuilder text = new StringBuilder();
     text.append(changes.get(failed).subject()).append(": ").append(reason).append('\n');
     changes
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/Change.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/Change.java
@@ -9,12 +9,12 @@
 import java.util.TreeSet;
 
 /**
- * Describes one write that brings the platform to what a file asks for.
+ * One write that makes the platform match a file.
  *
- * @param kind the object's kind
+ * @param kind the kind of the object
  * @param name its name
- * @param before what the platform holds, or nothing
- * @param after what it shall hold, or nothing
+ * @param before its present state on the platform; empty if it does not exist
+ * @param after its value after the write; empty to delete it
  */
 record Change(
     PlatformKind kind, String name, Optional<StoredObject> before, Optional<JsonObject> after) {
@@ -24,7 +24,7 @@
     return before.map(StoredObject::version).orElse(PlatformSession.ABSENT);
   }
 
-  boolean needed() {
+  boolean isNeeded() {
     return !before.map(StoredObject::value).equals(after);
   }
 
@@ -33,8 +33,8 @@
     return kind.word() + " " + name;
   }
 
-  /** Returns one line for the operator. */
-  String shown() {
+  /** Returns a one-line description for the operator. */
+  String description() {
     if (after.isEmpty()) {
       return "- " + subject();
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ChangePlan.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ChangePlan.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 
 /**
- * Compares what a file asks for with what the platform holds, and lists the writes in an order in
- * which no object names one that is not there yet.
+ * Difference between a configuration file and the platform, as writes in an order in which no object
+ * refers to one that does not exist yet.
  *
  * <p>Not safe for use by several threads.
  */
@@ -45,27 +45,27 @@
     return Optional.ofNullable(held.get(kind).get(name));
   }
 
-  /** Returns the writes that are needed; none if all is as asked. */
+  /** Returns the required writes; empty if the platform matches the file. */
   List<Change> changes(long presetAtMs) throws FileProblem {
     checkNames();
     List<Change> changes = new ArrayList<>();
-    for (ConfigurationFile.Wanted wanted : file.objects()) {
-      Optional<StoredObject> before = held(wanted.kind(), wanted.name());
-      JsonObject after = wanted.value().deepCopy();
-      if (wanted.kind() == PlatformKind.ENDPOINT && !after.has(ObjectFormat.STATE)) {
-        after.addProperty(ObjectFormat.STATE, keptState(before));
+    for (ConfigurationFile.Desired desired : file.objects()) {
+      Optional<StoredObject> before = held(desired.kind(), desired.name());
+      JsonObject after = desired.value().deepCopy();
+      if (desired.kind() == PlatformKind.ENDPOINT && !after.has(ObjectFormat.STATE)) {
+        after.addProperty(ObjectFormat.STATE, currentState(before));
       }
-      changes.add(new Change(wanted.kind(), wanted.name(), before, Optional.of(after)));
+      changes.add(new Change(desired.kind(), desired.name(), before, Optional.of(after)));
     }
     for (ConfigurationFile.Removal removal : file.removals()) {
       Optional<StoredObject> before = held(removal.kind(), removal.name());
       changes.add(new Change(removal.kind(), removal.name(), before, Optional.empty()));
     }
     file.preset().ifPresent(name -> changes.add(presetChange(name, presetAtMs)));
-    return changes.stream().filter(Change::needed).toList();
+    return changes.stream().filter(Change::isNeeded).toList();
   }
 
-  private static String keptState(Optional<StoredObject> before) {
+  private static String currentState(Optional<StoredObject> before) {
     return before
         .map(object -> object.value().get(ObjectFormat.STATE))
         .map(JsonElement::getAsString)
@@ -75,20 +75,20 @@
   private Change presetChange(Preset name, long presetAtMs) {
     Optional<StoredObject> before = held(PlatformKind.PRESET, PlatformKind.CURRENT_PRESET);
     JsonObject after = PresetCommand.value(name, presetAtMs);
-    if (PresetCommand.holds(before, name)) {
+    if (PresetCommand.isSelected(before, name)) {
       after = before.orElseThrow().value();
     }
     return new Change(PlatformKind.PRESET, PlatformKind.CURRENT_PRESET, before, Optional.of(after));
   }
 
-  /** Checks that every name which the file gives is there once all is written. */
+  /** Checks that every name that the file refers to exists after all writes. */
   private void checkNames() throws FileProblem {
-    Map<PlatformKind, Set<String>> there = namesAfter();
+    Map<PlatformKind, Set<String>> existing = namesAfterWrites();
     List<String> problems = new ArrayList<>();
-    for (ConfigurationFile.Wanted wanted : file.objects()) {
-      check(wanted, "adapters", PlatformKind.ADAPTER, there, problems);
-      check(wanted, "endpoints", PlatformKind.ENDPOINT, there, problems);
-      check(wanted, "service", PlatformKind.SERVICE, there, problems);
+    for (ConfigurationFile.Desired desired : file.objects()) {
+      check(desired, "adapters", PlatformKind.ADAPTER, existing, problems);
+      check(desired, "endpoints", PlatformKind.ENDPOINT, existing, problems);
+      check(desired, "service", PlatformKind.SERVICE, existing, problems);
     }
     checkRemovals(problems);
     if (!problems.isEmpty()) {
@@ -96,24 +96,24 @@
     }
   }
 
-  private Map<PlatformKind, Set<String>> namesAfter() {
+  private Map<PlatformKind, Set<String>> namesAfterWrites() {
     Map<PlatformKind, Set<String>> names = new EnumMap<>(PlatformKind.class);
     held.forEach((kind, objects) -> names.put(kind, new HashSet<>(objects.keySet())));
-    file.objects().forEach(wanted -> names.get(wanted.kind()).add(wanted.name()));
+    file.objects().forEach(desired -> names.get(desired.kind()).add(desired.name()));
     file.removals().forEach(removal -> names.get(removal.kind()).remove(removal.name()));
     return names;
   }
 
   private static void check(
-      ConfigurationFile.Wanted wanted,
+      ConfigurationFile.Desired desired,
       String member,
       PlatformKind kind,
-      Map<PlatformKind, Set<String>> there,
+      Map<PlatformKind, Set<String>> existing,
       List<String> problems) {
-    for (String name : named(wanted.value(), member)) {
-      if (!there.get(kind).contains(name)) {
+    for (String name : named(desired.value(), member)) {
+      if (!existing.get(kind).contains(name)) {
         problems.add(
-            wanted.place()
+            desired.place()
                 + ": "
                 + member
                 + " names '"
@@ -126,7 +126,7 @@
     }
   }
 
-  /** Returns the names of other objects that a member holds, apart from the star. */
+  /** Returns the names of other objects in a member, without the wildcard. */
   private static List<String> named(JsonObject value, String member) {
     JsonElement element = value.get(member);
     if (element == null) {
@@ -142,20 +142,20 @@
     return names;
   }
 
-  /** Checks that nothing which stays names an object that goes. */
+  /** Checks that no remaining object refers to a removed one. */
   private void checkRemovals(List<String> problems) {
     for (ConfigurationFile.Removal removal : file.removals()) {
       held.forEach(
           (kind, objects) ->
               objects.values().stream()
-                  .filter(object -> stays(kind, object.name()))
+                  .filter(object -> isUnchanged(kind, object.name()))
                   .filter(object -> names(object.value(), removal))
-                  .forEach(object -> problems.add(stillNamed(removal, kind, object.name()))));
+                  .forEach(object -> problems.add(stillReferenced(removal, kind, object.name()))));
     }
   }
 
   /** Returns whether an object of the platform is neither removed nor replaced by the file. */
-  private boolean stays(PlatformKind kind, String name) {
+  private boolean isUnchanged(PlatformKind kind, String name) {
     return file.removals().stream().noneMatch(r -> r.kind() == kind && r.name().equals(name))
         && file.objects().stream().noneMatch(w -> w.kind() == kind && w.name().equals(name));
   }
@@ -169,17 +169,17 @@
     };
   }
 
-  private static String stillNamed(
+  private static String stillReferenced(
       ConfigurationFile.Removal removal, PlatformKind kind, String name) {
     return removal.place()
         + ": "
         + removal.kind().word()
         + " '"
         + removal.name()
-        + "' is still named by "
+        + "' is still referred to by "
         + kind.word()
         + " '"
         + name
-        + "'; allowed: what nothing names";
+        + "'; allowed: objects that no other refers to";
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/Command.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/Command.java
@@ -14,7 +14,7 @@
 import java.util.TreeSet;
 
 /**
- * Lists the commands of the binary; each knows how to run.
+ * Commands of the program.
  *
  * <pre>{@code
  * System.exit(Command.dispatch(arguments));
@@ -24,7 +24,7 @@
  */
 public enum Command {
   /** Runs the entry daemon. */
-  ENTRY("", "run one entry daemon until it is told to stop") {
+  ENTRY("", "run one entry daemon until it is stopped") {
     @Override
     ExitCode execute(Invocation invocation) {
       throw new AssertionError("the entry daemon reads its own flags");
@@ -38,22 +38,22 @@
     @Override
     public int run(
         List<String> arguments, Map<String, String> environment, PrintStream out, PrintStream err) {
-      return asksForHelp(arguments)
+      return isHelpRequested(arguments)
           ? printHelp(out)
           : EntryCommand.run(arguments, environment, err).code();
     }
   },
-  /** Runs the daemon in front of a deployment's own endpoints. */
+  /** Runs the daemon of a deployment. */
   SERVE(
       "[--metrics-port PORT]",
-      "run one daemon on the host's own settings until it is told to stop",
+      "run one daemon with the host's settings until it is stopped",
       CommandFlag.METRICS_PORT) {
     @Override
     ExitCode execute(Invocation invocation) throws CommandException, SettingsException {
       return ServeCommand.run(invocation);
     }
   },
-  /** Brings a configuration file into force. */
+  /** Applies a configuration file. */
   APPLY(
       "-f FILE [--dry-run] --platform HOST:PORT",
       "check a configuration file, show the change and write it",
@@ -79,10 +79,10 @@
       return ShowCommand.run(invocation);
     }
   },
-  /** Brings a preset into force. */
+  /** Activates a preset. */
   PRESET(
       "NAME [--in-ms N] --platform HOST:PORT",
-      "bring ORDINARY, PEAK or MAINTENANCE into force",
+      "activate preset ORDINARY, PEAK or MAINTENANCE",
       CommandFlag.IN_MS,
       CommandFlag.PLATFORM,
       CommandFlag.TIMEOUT_MS) {
@@ -91,7 +91,7 @@
       return PresetCommand.run(invocation);
     }
   },
-  /** Takes an endpoint or a daemon out of use. */
+  /** Drains an endpoint or a daemon. */
   DRAIN(
       "endpoint NAME [--undo] --platform HOST:PORT | daemon NAME --operators HOST:PORT,...",
       "give an endpoint no new work, or stop a daemon without cutting off a request",
@@ -116,10 +116,10 @@
       return StatusCommand.run(invocation);
     }
   },
-  /** Merges the time lines of daemons. */
+  /** Merges the timelines of daemons. */
   TIMELINE(
       "[filters] [--json] --operators HOST:PORT,...",
-      "merge the time lines of daemons into one",
+      "merge the timelines of daemons into one",
       CommandFlag.SINCE,
       CommandFlag.UNTIL,
       CommandFlag.REQUEST,
@@ -135,8 +135,8 @@
       return TimelineCommand.run(invocation);
     }
   },
-  /** Reads decision lines and says where callers lost what. */
-  EXPLAIN("FILE...", "say from the decision lines of daemons where callers lost what, and why") {
+  /** Reports late and failed requests from decision logs. */
+  EXPLAIN("FILE...", "report from daemons' decision logs which requests were late or failed, and why") {
     @Override
     ExitCode execute(Invocation invocation) throws CommandException, SettingsException {
       return ExplainCommand.run(invocation);
@@ -148,7 +148,7 @@
   private final String usage;
   private final String summary;
 
-  // The set is unmodifiable, which its type does not say.
+  // The set is unmodifiable, although its type is not.
   @SuppressWarnings("ImmutableEnumChecker")
   private final Set<CommandFlag> flags;
 
@@ -161,9 +161,9 @@
   abstract ExitCode execute(Invocation invocation) throws CommandException, SettingsException;
 
   /**
-   * Runs the command that the first argument names, printing to the process's own streams.
+   * Runs the command named by the first argument, with the process's environment and output streams.
    *
-   * @param arguments the command's name and its arguments
+   * @param arguments the name of the command, followed by its arguments
    * @return the exit code
    */
   public static int dispatch(String[] arguments) {
@@ -195,15 +195,15 @@
   /**
    * Runs the command.
    *
-   * @param arguments what follows the command's name
+   * @param arguments the arguments without the command's name
    * @param environment the environment variables
-   * @param out where results go
-   * @param err where messages go
+   * @param out the stream for results
+   * @param err the stream for error messages
    * @return the exit code
    */
   public int run(
       List<String> arguments, Map<String, String> environment, PrintStream out, PrintStream err) {
-    if (asksForHelp(arguments)) {
+    if (isHelpRequested(arguments)) {
       return printHelp(out);
     }
     try {
@@ -236,7 +236,7 @@
     for (Command command : values()) {
       text.append(String.format(Locale.ROOT, "  %-9s %s%n", command.word(), command.summary));
     }
-    return text.append("\nsequoiapass COMMAND --help tells more.\n").toString();
+    return text.append("\nRun sequoiapass COMMAND --help for details.\n").toString();
   }
 
   String word() {
@@ -247,7 +247,7 @@
     return PROGRAM + word() + " " + usage;
   }
 
-  static boolean asksForHelp(List<String> arguments) {
+  static boolean isHelpRequested(List<String> arguments) {
     return arguments.contains("--help") || arguments.contains("-h");
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/CommandClient.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/CommandClient.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Sends a command's calls one after the other and waits for each.
+ * Blocking client that sends the calls of one command one at a time.
  *
  * <p>Not safe for use by several threads.
  */
@@ -23,7 +23,7 @@
 
   private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-  /** Waited on top of the client's own timeout, which should always come first. */
+  /** Added to the timeout of the HTTP client, which normally expires first. */
   private static final long GRACE_MS = 1_000;
 
   private final EventLoopGroup group = SocketTransport.NIO.group(1);
@@ -53,7 +53,7 @@
     return new PlatformClient(client, address, timeoutMs);
   }
 
-  /** Waits for the answer to a call to the platform. */
+  /** Waits for the platform's answer to a call. */
   <T> T await(CompletableFuture<T> answer) throws PlatformException, CommandException {
     try {
       return answer.get(timeoutMs + GRACE_MS, TimeUnit.MILLISECONDS);
@@ -63,7 +63,7 @@
       }
       throw new CommandException(ExitCode.FAILED, "platform: " + e.getCause());
     } catch (TimeoutException e) {
-      throw new CommandException(ExitCode.UNREACHABLE, "platform gives no answer in time");
+      throw new CommandException(ExitCode.UNREACHABLE, "no answer from the platform in time");
     } catch (InterruptedException e) {
       throw interrupted();
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/CommandException.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/CommandException.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Ends a command with an exit code and a message for the operator. */
+/** Thrown to end a command with an exit code and a message for the operator. */
 final class CommandException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/CommandFlag.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/CommandFlag.java
@@ -2,18 +2,18 @@
 
 import java.util.Locale;
 
-/** Lists the flags of the operators' commands. */
+/** Flags of the operators' commands. */
 enum CommandFlag {
   PLATFORM("HOST:PORT", true, null, "address of the platform's object API"),
-  OPERATORS("HOST:PORT,...", true, null, "operator addresses of the daemons to ask"),
-  TIMEOUT_MS("N", true, "2000", "how long one call may take: 100 to 60000 ms"),
+  OPERATORS("HOST:PORT,...", true, null, "operator addresses of the daemons"),
+  TIMEOUT_MS("N", true, "2000", "timeout of one call: 100 to 60000 ms"),
   FILE("FILE", false, null, "the configuration file; -f for short"),
   DRY_RUN(null, false, null, "show the change and write nothing"),
-  IN_MS("N", false, "2000", "the preset comes into force N ms from now: 0 to 600000 ms"),
-  UNDO(null, false, null, "take the endpoint back: ACTIVE in place of LEAVING"),
+  IN_MS("N", false, "2000", "the preset takes effect N ms from now: 0 to 600000 ms"),
+  UNDO(null, false, null, "return the endpoint to service: ACTIVE instead of LEAVING"),
   JSON(null, false, null, "print JSON"),
-  SINCE("MS", false, null, "only events from then on, in ms since 1970 by this host's clock"),
-  UNTIL("MS", false, null, "only events up to then, in ms since 1970 by this host's clock"),
+  SINCE("MS", false, null, "only events from this time on, in ms since 1970 by this host's clock"),
+  UNTIL("MS", false, null, "only events up to this time, in ms since 1970 by this host's clock"),
   REQUEST("ID", false, null, "only events of this request"),
   ADAPTER("NAME", false, null, "only events of this adapter, with or without @VERSION"),
   ENDPOINT("NAME", false, null, "only events of this endpoint"),
@@ -21,12 +21,12 @@
   LIMIT("N", false, "2000", "at most the newest N events of each daemon: 1 to 1000000"),
   METRICS_PORT("PORT", false, null, "serve metrics as text on this port: 1 to 65535");
 
-  /** Bounds of {@link #TIMEOUT_MS}: shorter loses to a busy host, longer looks like a hang. */
+  /** Bounds of {@link #TIMEOUT_MS}: shorter fails on a busy host, longer looks like a hang. */
   static final long TIMEOUT_MINIMUM_MS = 100;
 
   static final long TIMEOUT_MAXIMUM_MS = 60_000;
 
-  /** Bound of {@link #IN_MS}: a change planned later than that is easily forgotten. */
+  /** Upper bound of {@link #IN_MS}: a change scheduled further ahead is easily forgotten. */
   static final long DELAY_MAXIMUM_MS = 600_000;
 
   private final String argument;
@@ -41,7 +41,7 @@
     this.meaning = meaning;
   }
 
-  /** Returns the long flag without its dashes. */
+  /** Returns the long flag without its leading dashes. */
   String option() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
@@ -51,12 +51,12 @@
     return this == FILE ? "f" : null;
   }
 
-  /** Returns flag, and environment variable where there is one, for messages. */
+  /** Returns the flag and, if there is one, the environment variable, for error messages. */
   String names() {
     return "--" + option() + (inEnvironment ? " (" + variable() + ")" : "");
   }
 
-  /** Returns the environment variable; only settings that hold for many calls have one. */
+  /** Returns the environment variable; only flags that apply to many calls have one. */
   String variable() {
     return "SEQUOIAPASS_" + name();
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ConfigurationFile.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ConfigurationFile.java
@@ -8,57 +8,57 @@
 import java.util.Optional;
 
 /**
- * Holds what a configuration file asks for, checked by itself.
+ * Content of a configuration file, validated without the platform.
  *
- * @param objects the objects that shall be there, in the order of writing
- * @param removals the objects that shall be gone, in the order of deleting
- * @param preset the preset that shall be in force
+ * @param objects the objects to write, in the order of writing
+ * @param removals the objects to delete, in the order of deletion
+ * @param preset the preset to activate
  */
-record ConfigurationFile(List<Wanted> objects, List<Removal> removals, Optional<Preset> preset) {
+record ConfigurationFile(List<Desired> objects, List<Removal> removals, Optional<Preset> preset) {
 
   /**
-   * Holds one object that shall be there.
+   * One object to write.
    *
    * @param kind its kind
    * @param name its name
    * @param value its value
-   * @param place where the file gives it
+   * @param place its position in the file
    */
-  record Wanted(PlatformKind kind, String name, JsonObject value, String place) {}
+  record Desired(PlatformKind kind, String name, JsonObject value, String place) {}
 
   /**
-   * Holds one object that shall be gone.
+   * One object to delete.
    *
    * @param kind its kind
    * @param name its name
-   * @param place where the file gives it
+   * @param place its position in the file
    */
   record Removal(PlatformKind kind, String name, String place) {}
 
   static ConfigurationFile parse(String text) throws FileProblem {
     List<String> problems = new ArrayList<>();
     FileObject file = new FileObject(FileValue.read(text), problems);
-    List<Wanted> objects = new ArrayList<>();
+    List<Desired> objects = new ArrayList<>();
     for (ObjectFormat format : ObjectFormat.values()) {
       for (Map.Entry<String, FileValue> entry : file.entries(format.member())) {
         FileObject object = new FileObject(entry.getValue(), problems);
         JsonObject value = format.read(object);
-        object.refuseUnknown();
-        objects.add(new Wanted(format.kind(), entry.getKey(), value, object.place()));
+        object.rejectUnknown();
+        objects.add(new Desired(format.kind(), entry.getKey(), value, object.place()));
       }
     }
     Optional<Preset> preset =
         file.has("preset") ? Optional.of(file.choice("preset", Preset.values())) : Optional.empty();
     List<Removal> removals = removals(file);
-    file.refuseUnknown();
-    refuseBoth(objects, removals, problems);
+    file.rejectUnknown();
+    rejectConflicts(objects, removals, problems);
     if (!problems.isEmpty()) {
       throw new FileProblem(String.join("\n", problems));
     }
     return new ConfigurationFile(List.copyOf(objects), removals, preset);
   }
 
-  /** Reads removals, endpoints first: what names others goes before what is named. */
+  /** Reads the removals in reverse order of kinds: objects are deleted before those they refer to. */
   private static List<Removal> removals(FileObject file) {
     Optional<FileObject> remove = file.object("remove");
     if (remove.isEmpty()) {
@@ -74,15 +74,15 @@
         }
       }
     }
-    remove.get().refuseUnknown();
+    remove.get().rejectUnknown();
     return removals;
   }
 
-  private static void refuseBoth(
-      List<Wanted> objects, List<Removal> removals, List<String> problems) {
+  private static void rejectConflicts(
+      List<Desired> objects, List<Removal> removals, List<String> problems) {
     for (Removal removal : removals) {
-      for (Wanted wanted : objects) {
-        if (wanted.kind() == removal.kind() && wanted.name().equals(removal.name())) {
+      for (Desired desired : objects) {
+        if (desired.kind() == removal.kind() && desired.name().equals(removal.name())) {
           problems.add(
               removal.place()
                   + ": "
@@ -90,7 +90,7 @@
                   + " '"
                   + removal.name()
                   + "' is removed here and given at "
-                  + wanted.place());
+                  + desired.place());
         }
       }
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/DrainCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/DrainCommand.java
@@ -14,10 +14,10 @@
 import java.util.Optional;
 import java.util.UUID;
 
-/** Takes an endpoint or a daemon out of use without cutting off a request. */
+/** Drains an endpoint or a daemon without cutting off a request. */
 final class DrainCommand {
 
-  /** Each attempt loses only against another change of the same endpoint. */
+  /** An attempt fails only on a concurrent change of the same endpoint. */
   private static final int CONFLICT_ATTEMPTS = 5;
 
   private DrainCommand() {}
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Sets the state and leaves the rest of the object as it is. After a conflict the object is read
-   * again: the other change may have touched any other member, and writing over it would undo it.
+   * Sets the state and keeps all other members. After a conflict, the object is read again: the
+   * concurrent change may have modified other members, and overwriting them would undo it.
    */
   private static void setState(PlatformSession platform, String name, EndpointState state)
       throws CommandException {
@@ -95,12 +95,12 @@
             ExitCode.CONFLICT,
             "daemon " + name + " refused: status " + answer.status() + " " + answer.text());
       }
-      invocation.out().println("daemon " + name + " drains");
+      invocation.out().println("daemon " + name + " is draining");
       return ExitCode.OK;
     } catch (HttpFailure e) {
       throw new CommandException(
           ExitCode.UNREACHABLE,
-          e.getMessage() + (e.mayHaveReached() ? "; it may be draining" : "; it was not asked"));
+          e.getMessage() + (e.mayHaveReached() ? "; it may be draining" : "; the drain request was not sent"));
     }
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/EntryCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/EntryCommand.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the settings of the entry daemon and runs it. */
+/** Parses the settings of the entry daemon and runs it. */
 final class EntryCommand {
 
   private EntryCommand() {}
@@ -42,7 +42,8 @@
   }
 
   /**
-   * A host's init system stops a service by a signal; the virtual machine ends once this returns.
+   * Drains the daemon when the host's init system stops it by a signal; the virtual machine exits
+   * when this method returns.
    */
   private static void stopOnSignal(EntryDaemon daemon) {
     try {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ExitCode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ExitCode.java
@@ -1,14 +1,14 @@
 package io.sequoiapass.daemon.process.command;
 
-/** Lists the exit codes of every command; docs/COMMANDS.md is held to it. */
+/** Exit codes of all commands; a test compares docs/COMMANDS.md with this list. */
 public enum ExitCode {
-  /** All was done. */
+  /** The command succeeded. */
   OK(0, "done as asked"),
-  /** Something failed that no other code names. */
+  /** A failure that no other code covers. */
   FAILED(1, "failed; the message says what was done and what was not"),
-  /** Wrong usage or settings. */
+  /** Wrong usage, or an invalid setting or configuration file. */
   USAGE(2, "wrong usage, setting or configuration file; nothing was changed"),
-  /** Refused because somebody else's change came first, or by a daemon. */
+  /** Refused because of a concurrent change, or by a daemon. */
   CONFLICT(3, "refused: another change came first, or a daemon refused; read again and decide"),
   /** The platform or a daemon does not answer. */
   UNREACHABLE(4, "the platform or a daemon does not answer; the message says what is unknown");
@@ -26,7 +26,7 @@
     return code;
   }
 
-  /** Returns what the code means to the caller. */
+  /** Returns the meaning of the code, for help texts. */
   public String meaning() {
     return meaning;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ExplainCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ExplainCommand.java
@@ -9,30 +9,30 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Says from daemons' decision lines where callers lost what. */
+/** Reports late and failed requests from daemons' decision logs. */
 final class ExplainCommand {
 
-  /** Daemons of one deployment, each with a file of its own. */
-  private static final int MOST_FILES = 1_000;
+  /** Enough for all daemons of one deployment, with one file each. */
+  private static final int MAX_FILES = 1_000;
 
   private ExplainCommand() {}
 
   static ExitCode run(Invocation invocation) throws CommandException, SettingsException {
-    List<String> files = invocation.words(1, MOST_FILES, Command.EXPLAIN.usage());
+    List<String> files = invocation.words(1, MAX_FILES, Command.EXPLAIN.usage());
     LossReport report = new LossReport();
     for (String file : files) {
       read(file, report);
     }
     if (report.lines() == 0) {
       throw new CommandException(
-          ExitCode.FAILED, "no decision line in " + String.join(", ", files));
+          ExitCode.FAILED, "no decision log entry in " + String.join(", ", files));
     }
     report.print(invocation.out());
     return ExitCode.OK;
   }
 
   private static void read(String file, LossReport report) throws CommandException {
-    // A line that was cut by a crash may hold half a character.
+    // A line truncated by a crash may end within a character, which would be malformed UTF-8.
     try (Stream<String> lines = Files.lines(Path.of(file), StandardCharsets.ISO_8859_1)) {
       lines.forEach(report::read);
     } catch (IOException e) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/FileObject.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/FileObject.java
@@ -11,16 +11,16 @@
 import java.util.function.Predicate;
 
 /**
- * Reads the members of one object of a configuration file and collects what is wrong with them.
+ * Reader for the members of one object of a configuration file that collects all errors.
  *
- * <p>A reader returns a stand-in for a wrong value; the caller looks at the problems in the end, so
- * that an operator sees all of them in one go.
+ * <p>For an invalid value, a method records a problem and returns a placeholder. The caller checks
+ * the problems at the end, so that an operator sees all of them in one run.
  *
  * <p>Not safe for use by several threads.
  */
 final class FileObject {
 
-  /** What a name may look like. */
+  /** Description of an allowed name, for error messages. */
   static final String NAME_ALLOWED =
       "1 to 200 visible ASCII characters without space, comma, '@' or '='";
 
@@ -28,17 +28,17 @@
 
   private final FileValue value;
   private final List<String> problems;
-  private final Set<String> known = new LinkedHashSet<>();
+  private final Set<String> knownMembers = new LinkedHashSet<>();
 
   FileObject(FileValue value, List<String> problems) {
     this.value = value;
     this.problems = problems;
     if (value.type() != JsonToken.BEGIN_OBJECT) {
-      wrong(value, "an object");
+      addProblem(value, "an object");
     }
   }
 
-  void wrong(FileValue found, String allowed) {
+  void addProblem(FileValue found, String allowed) {
     problems.add(found.place() + ": " + found.shown() + " is wrong; allowed: " + allowed);
   }
 
@@ -51,11 +51,11 @@
   }
 
   boolean has(String member) {
-    known.add(member);
+    knownMembers.add(member);
     return value.members().containsKey(member);
   }
 
-  /** Returns a member, or null with a problem noted. */
+  /** Returns a member, or null after recording a problem if it is absent. */
   private FileValue required(String member, String allowed) {
     if (!has(member)) {
       problems.add(value.place() + ": '" + member + "' is not given; allowed: " + allowed);
@@ -64,14 +64,14 @@
     return value.members().get(member);
   }
 
-  /** Returns each member's value as an object, by name. */
+  /** Returns the entries of an object member by name; empty if the member is absent. */
   List<Map.Entry<String, FileValue>> entries(String member) {
     if (!has(member)) {
       return List.of();
     }
     FileValue holder = value.members().get(member);
     if (holder.type() != JsonToken.BEGIN_OBJECT) {
-      wrong(holder, "an object with a member for each name");
+      addProblem(holder, "an object with a member for each name");
     }
     for (Map.Entry<String, FileValue> entry : holder.members().entrySet()) {
       if (!isName(entry.getKey())) {
@@ -98,7 +98,7 @@
       return "";
     }
     if (found.type() != JsonToken.STRING || !check.test(found.text())) {
-      wrong(found, allowed);
+      addProblem(found, allowed);
     }
     return found.text();
   }
@@ -107,21 +107,21 @@
     return text(member, FileObject::isName, NAME_ALLOWED);
   }
 
-  List<String> names(String member, boolean starAllowed) {
-    String allowed = "an array of names, each once" + (starAllowed ? ", or [\"*\"]" : "");
+  List<String> names(String member, boolean wildcardAllowed) {
+    String allowed = "an array of names, each once" + (wildcardAllowed ? ", or [\"*\"]" : "");
     FileValue found = required(member, allowed);
     if (found == null) {
       return List.of();
     }
     if (found.type() != JsonToken.BEGIN_ARRAY || found.items().isEmpty()) {
-      wrong(found, allowed);
+      addProblem(found, allowed);
     }
     List<String> names = new ArrayList<>();
     for (FileValue item : found.items()) {
-      boolean star = starAllowed && item.text().equals("*") && found.items().size() == 1;
-      boolean fits = star || (isName(item.text()) && !item.text().equals("*"));
+      boolean wildcard = wildcardAllowed && item.text().equals("*") && found.items().size() == 1;
+      boolean fits = wildcard || (isName(item.text()) && !item.text().equals("*"));
       if (item.type() != JsonToken.STRING || !fits || names.contains(item.text())) {
-        wrong(item, allowed);
+        addProblem(item, allowed);
       }
       names.add(item.text());
     }
@@ -140,14 +140,14 @@
         return number;
       }
     }
-    wrong(found, allowed);
+    addProblem(found, allowed);
     return minimum;
   }
 
   boolean flag(String member) {
     FileValue found = required(member, "true or false");
     if (found != null && found.type() != JsonToken.BOOLEAN) {
-      wrong(found, "true or false");
+      addProblem(found, "true or false");
     }
     return found != null && found.text().equals("true");
   }
@@ -159,16 +159,16 @@
     return Arrays.stream(choices).filter(c -> c.name().equals(text)).findFirst().orElse(choices[0]);
   }
 
-  /** Notes every member that nobody asked for: most often a name with a slip in it. */
-  void refuseUnknown() {
+  /** Records a problem for every member that was not read, which is usually a misspelt name. */
+  void rejectUnknown() {
     for (Map.Entry<String, FileValue> member : value.members().entrySet()) {
-      if (!known.contains(member.getKey())) {
+      if (!knownMembers.contains(member.getKey())) {
         problems.add(
             member.getValue().place()
                 + ": '"
                 + member.getKey()
                 + "' is unknown; allowed: "
-                + String.join(", ", known));
+                + String.join(", ", knownMembers));
       }
     }
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/FileProblem.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/FileProblem.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.daemon.process.command;
 
-/** Tells what is wrong in a configuration file and where, one problem a line. */
+/** Thrown for an invalid configuration file; the message has one problem with its position per line. */
 final class FileProblem extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/FileValue.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/FileValue.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 
 /**
- * Holds one JSON value of a configuration file with its place, so that an error can name it.
+ * JSON value of a configuration file with its position, for error messages.
  *
- * <p>Gson's own tree keeps neither places nor members given twice, and the second one would win
- * without a word.
+ * <p>Gson's own tree keeps no positions and silently drops the first of two members with the same
+ * name.
  *
  * @param place line, column and path
  * @param type the type of the value
@@ -32,23 +32,23 @@
     Map<String, FileValue> members,
     List<FileValue> items) {
 
-  /** Deeper values are refused before they exhaust the stack. */
+  /** Deeper values are rejected before they overflow the stack. */
   private static final int MAX_DEPTH = 16;
 
   static FileValue read(String text) throws FileProblem {
     JsonReader reader = new JsonReader(new StringReader(text));
-    // The only strictness that takes comments.
+    // The only strictness that allows comments.
     reader.setStrictness(Strictness.LENIENT);
     try {
       FileValue value = read(reader, 0);
       if (reader.peek() != JsonToken.END_DOCUMENT) {
-        throw new FileProblem(place(reader) + ": more text after the end");
+        throw new FileProblem(place(reader) + ": unexpected text after the end");
       }
       return value;
     } catch (MalformedJsonException | JsonParseException | IllegalStateException e) {
-      throw new FileProblem(place(reader) + ": no JSON: " + firstLine(e));
+      throw new FileProblem(place(reader) + ": invalid JSON: " + firstLine(e));
     } catch (EOFException e) {
-      throw new FileProblem(place(reader) + ": the file ends too early");
+      throw new FileProblem(place(reader) + ": unexpected end of file");
     } catch (IOException e) {
       throw new FileProblem(place(reader) + ": " + firstLine(e));
     }
@@ -110,7 +110,7 @@
     return String.valueOf(e.getMessage()).lines().findFirst().orElse("");
   }
 
-  /** Returns the value as a message shows it. */
+  /** Returns the value as shown in error messages. */
   String shown() {
     return switch (type) {
       case BEGIN_OBJECT -> "an object";
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/Invocation.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/Invocation.java
@@ -15,7 +15,7 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * Holds what one command was called with: its checked flags, its words, and where it prints.
+ * Parsed command line of one command, with its environment and output streams.
  *
  * <p>Not safe for use by several threads.
  */
@@ -55,15 +55,15 @@
               .setAllowPartialMatching(false)
               .get()
               .parse(options, arguments.toArray(new String[0]));
-      refuseRepeated(flags, line);
+      rejectRepeated(flags, line);
       return new Invocation(line, environment, out, err);
     } catch (ParseException e) {
       throw SettingsException.unreadable(e.getMessage());
     }
   }
 
-  /** Two values for one flag would leave open which one holds. */
-  private static void refuseRepeated(Set<CommandFlag> flags, CommandLine line)
+  /** Rejects a flag that is given more than once, since it is unclear which value applies. */
+  private static void rejectRepeated(Set<CommandFlag> flags, CommandLine line)
       throws SettingsException {
     for (CommandFlag flag : flags) {
       String[] given = line.getOptionValues(flag.option());
@@ -85,11 +85,15 @@
     return err;
   }
 
-  /** Returns what was given besides flags, if there are as many words as asked for. */
-  List<String> words(int least, int most, String usage) throws SettingsException {
+  /**
+   * Returns the positional arguments.
+   *
+   * @throws SettingsException if their number is not in the range
+   */
+  List<String> words(int minimum, int maximum, String usage) throws SettingsException {
     List<String> words = line.getArgList();
-    if (words.size() < least || words.size() > most) {
-      throw SettingsException.unreadable("wrong number of words: " + words + "; usage: " + usage);
+    if (words.size() < minimum || words.size() > maximum) {
+      throw SettingsException.unreadable("wrong number of arguments: " + words + "; usage: " + usage);
     }
     return words;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ObjectFormat.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ObjectFormat.java
@@ -9,7 +9,7 @@
 import io.sequoiapass.daemon.process.settings.SettingsException;
 import java.util.List;
 
-/** Reads one object of a configuration file into the value that the platform holds. */
+/** Format of one kind of object in a configuration file, converted to the platform's value. */
 enum ObjectFormat {
   ADAPTERS(PlatformKind.ADAPTER) {
     @Override
@@ -60,10 +60,10 @@
     }
   };
 
-  /** The member that drain changes; a file that leaves it out keeps what the platform holds. */
+  /** The member that {@code drain} changes; if a file omits it, the platform's value is kept. */
   static final String STATE = "state";
 
-  /** A service beyond that needs more than one configuration entry to be watched over. */
+  /** A service beyond this limit needs several entries, so that each can be monitored. */
   private static final long MAX_IN_FLIGHT = 100_000;
 
   private static final long MAX_STREAMS = 10_000;
@@ -80,7 +80,7 @@
     return kind;
   }
 
-  /** Returns the member of the file that holds objects of this kind. */
+  /** Returns the member of the file that contains objects of this kind. */
   String member() {
     return kind.word() + "s";
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/OperatorClient.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/OperatorClient.java
@@ -12,7 +12,7 @@
 import java.util.List;
 
 /**
- * Asks daemons on their operator ports.
+ * Client of the operators' API of daemons.
  *
  * <p>Not safe for use by several threads.
  */
@@ -40,12 +40,12 @@
       }
     } catch (JsonParseException | IllegalStateException e) {
       throw new CommandException(
-          ExitCode.FAILED, "daemon at " + address + " answered no JSON: " + e.getMessage());
+          ExitCode.FAILED, "daemon at " + address + " sent invalid JSON: " + e.getMessage());
     }
-    throw new CommandException(ExitCode.FAILED, "daemon at " + address + " does not say its name");
+    throw new CommandException(ExitCode.FAILED, "daemon at " + address + " did not report its name");
   }
 
-  /** Returns whether the daemon takes requests. */
+  /** Returns whether the daemon accepts requests. */
   boolean ready(InetSocketAddress address) throws HttpFailure, CommandException {
     return client.send(HttpCall.to(address, "GET", "/ready")).ok();
   }
@@ -54,23 +54,23 @@
     return status.get(DAEMON).getAsString();
   }
 
-  /** Returns the operator address of the daemon with a name. */
+  /** Returns the operator address of the daemon with the given name. */
   InetSocketAddress find(List<InetSocketAddress> addresses, String name) throws CommandException {
-    List<String> silent = new ArrayList<>();
+    List<String> unresponsive = new ArrayList<>();
     for (InetSocketAddress address : addresses) {
       try {
         if (name(status(address)).equals(name)) {
           return address;
         }
       } catch (HttpFailure e) {
-        silent.add(address.toString());
+        unresponsive.add(address.toString());
       }
     }
-    if (silent.isEmpty()) {
+    if (unresponsive.isEmpty()) {
       throw new CommandException(
           ExitCode.FAILED, "none of " + addresses + " is daemon '" + name + "'");
     }
     throw new CommandException(
-        ExitCode.UNREACHABLE, "daemon '" + name + "' not found; no answer from " + silent);
+        ExitCode.UNREACHABLE, "daemon '" + name + "' not found; no answer from " + unresponsive);
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/PlatformKind.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/PlatformKind.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** Lists the kinds of objects on the platform, in the order in which they are written. */
+/** Kinds of objects on the platform, in the order in which they are written. */
 enum PlatformKind {
   ADAPTER,
   SERVICE,
@@ -14,10 +14,10 @@
   LEASE,
   OWNERSHIP;
 
-  /** The one object of kind preset. */
+  /** Name of the only object of kind preset. */
   static final String CURRENT_PRESET = "current";
 
-  /** Returns the kind as the platform names it. */
+  /** Returns the kind's name on the platform. */
   String word() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/PlatformSession.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/PlatformSession.java
@@ -15,22 +15,22 @@
 import java.util.function.Supplier;
 
 /**
- * Reads and writes objects of the platform for one command, one call at a time, with a few tries.
+ * Reads and writes of platform objects for one command, one call at a time, with retries.
  *
- * <p>A write is sent again under the same operation id until its fate is known, as {@link
- * ConditionalWrite} decides: an operator must not be told that his change was refused while it is
- * in force.
+ * <p>A write is repeated with the same operation id until its outcome is known, as {@link
+ * ConditionalWrite} decides: an operator must not be told that a change was refused although it has
+ * taken effect.
  *
  * <p>Not safe for use by several threads.
  */
 final class PlatformSession {
 
-  /** The version that stands for an object that does not exist. */
+  /** Version of an object that does not exist. */
   static final long ABSENT = 0;
 
-  private static final int ATTEMPTS = 5;
-  private static final long FIRST_PAUSE_MS = 100;
-  private static final long LONGEST_PAUSE_MS = 5_000;
+  private static final int MAX_ATTEMPTS = 5;
+  private static final long INITIAL_BACKOFF_MS = 100;
+  private static final long MAX_BACKOFF_MS = 5_000;
 
   private final CommandClient client;
   private final InetSocketAddress address;
@@ -50,7 +50,7 @@
     return read(() -> platform.read(kind.word(), name));
   }
 
-  /** Writes a value if the object still has the version given. */
+  /** Writes a value if the object still has the given version. */
   void put(PlatformKind kind, String name, JsonObject value, long version, OperationId operation)
       throws CommandException {
     Optional<Refusal> refusal =
@@ -62,22 +62,22 @@
     }
   }
 
-  /** Deletes an object if it still has the version given. */
+  /** Deletes an object if it still has the given version. */
   void delete(PlatformKind kind, String name, long version, OperationId operation)
       throws CommandException {
     Optional<Refusal> refusal =
         write(
             ConditionalWrite.create(operation, version),
             () -> platform.delete(kind.word(), name, version, operation));
-    // After a lost answer nothing is left that could carry our operation id, but it is gone.
-    if (refusal.isPresent() && !refusal.get().goneAfterLostAnswer()) {
+    // A deleted object has no operation id to compare after a lost answer; its absence suffices.
+    if (refusal.isPresent() && !refusal.get().isAbsentAfterLostAnswer()) {
       throw refusal.get().exception();
     }
   }
 
   private <T> T read(Supplier<CompletableFuture<T>> call) throws CommandException {
     String last = "";
-    for (int attempt = 1; attempt <= ATTEMPTS; attempt++) {
+    for (int attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
       try {
         return client.await(call.get());
       } catch (PlatformException e) {
@@ -92,7 +92,7 @@
       ConditionalWrite write, Supplier<CompletableFuture<WriteAnswer>> call)
       throws CommandException {
     boolean lost = false;
-    for (int attempt = 1; attempt <= ATTEMPTS; attempt++) {
+    for (int attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
       WriteAnswer answer = answer(call);
       WriteDecision decision = write.answered(answer);
       if (decision.isApplied()) {
@@ -106,7 +106,7 @@
     }
     String effect = lost ? "; it may have taken effect" : "; it took no effect";
     throw new CommandException(
-        ExitCode.UNREACHABLE, "platform " + address + " gives no answer" + effect);
+        ExitCode.UNREACHABLE, "platform " + address + " did not answer" + effect);
   }
 
   private WriteAnswer answer(Supplier<CompletableFuture<WriteAnswer>> call)
@@ -118,22 +118,22 @@
     }
   }
 
-  private void pause(int attempt, long askedMs) throws CommandException {
-    if (attempt < ATTEMPTS) {
-      long pauseMs = Math.max(FIRST_PAUSE_MS << (attempt - 1), askedMs);
-      client.pause(Math.min(pauseMs, LONGEST_PAUSE_MS));
+  private void pause(int attempt, long retryAfterMs) throws CommandException {
+    if (attempt < MAX_ATTEMPTS) {
+      long pauseMs = Math.max(INITIAL_BACKOFF_MS << (attempt - 1), retryAfterMs);
+      client.pause(Math.min(pauseMs, MAX_BACKOFF_MS));
     }
   }
 
   /**
-   * Holds why a write was refused.
+   * Reason why a write was refused.
    *
-   * @param found what the platform holds instead
-   * @param afterLostAnswer whether an answer to the same write was lost before
+   * @param found the object on the platform
+   * @param afterLostAnswer whether an earlier answer to the same write was lost
    */
   private record Refusal(WriteAnswer.Conflict found, boolean afterLostAnswer) {
 
-    boolean goneAfterLostAnswer() {
+    boolean isAbsentAfterLostAnswer() {
       return afterLostAnswer && found.version() == ABSENT;
     }
 
@@ -141,9 +141,9 @@
       String operation = found.operation().map(OperationId::value).orElse("unnamed");
       String what =
           found.version() == ABSENT
-              ? "the object is gone"
+              ? "the object does not exist"
               : "it is at version " + found.version() + " by operation " + operation;
-      String before = afterLostAnswer ? "; this change may have been in force before that" : "";
+      String before = afterLostAnswer ? "; this change may have been in effect before that" : "";
       return new CommandException(ExitCode.CONFLICT, "another change came first: " + what + before);
     }
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/PresetCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/PresetCommand.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.UUID;
 
-/** Brings a preset into force at a moment that is ahead, so that all daemons know it by then. */
+/** Activates a preset at a time in the near future, so that all daemons have received it by then. */
 final class PresetCommand {
 
   private static final String PRESET = "preset";
@@ -28,8 +28,8 @@
       PlatformSession platform = new PlatformSession(client, platformAddress);
       Optional<StoredObject> before =
           platform.find(PlatformKind.PRESET, PlatformKind.CURRENT_PRESET);
-      if (holds(before, name)) {
-        invocation.out().println("preset " + name + " is chosen already");
+      if (isSelected(before, name)) {
+        invocation.out().println("preset " + name + " is already selected");
         return ExitCode.OK;
       }
       platform.put(
@@ -38,7 +38,7 @@
           value(name, MillisClock.wall().millis() + delayMs),
           before.map(StoredObject::version).orElse(PlatformSession.ABSENT),
           new OperationId("preset-" + UUID.randomUUID()));
-      invocation.out().println("preset " + name + " comes into force in " + delayMs + " ms");
+      invocation.out().println("preset " + name + " takes effect in " + delayMs + " ms");
       return ExitCode.OK;
     }
   }
@@ -59,8 +59,8 @@
     return value;
   }
 
-  /** Returns whether the platform's preset is that one already, in force or soon. */
-  static boolean holds(Optional<StoredObject> current, Preset name) {
+  /** Returns whether the platform's preset is the given one, active or scheduled. */
+  static boolean isSelected(Optional<StoredObject> current, Preset name) {
     return current
         .map(object -> object.value().get(PRESET))
         .map(JsonElement::getAsString)
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ServeCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ServeCommand.java
@@ -4,7 +4,7 @@
 import java.util.OptionalInt;
 import java.util.ServiceLoader;
 
-/** Runs the daemon of the deployment that this binary was built for. */
+/** Runs the daemon of the deployment that this program was built for. */
 final class ServeCommand {
 
   private static final long MAX_PORT = (1 << Character.SIZE) - 1;
@@ -20,7 +20,7 @@
         ServiceLoader.load(ServeProgram.class)
             .findFirst()
             .orElseThrow(
-                () -> new CommandException(ExitCode.FAILED, "this binary holds no such daemon"));
+                () -> new CommandException(ExitCode.FAILED, "this program contains no daemon to serve"));
     try {
       program.serve(port, invocation.environment());
       return ExitCode.OK;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ServeProgram.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ServeProgram.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 import java.util.OptionalInt;
 
-/** Runs the daemon of a deployment; found in the binary by its name in the service files. */
+/** Daemon of a deployment; found by {@link java.util.ServiceLoader}. */
 public interface ServeProgram {
 
-  /** Tells why the daemon could not start, in words for the operator. */
+  /** Thrown if the daemon cannot start; the message is for the operator. */
   final class ServeException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * Makes an exception.
+     * Creates an exception.
      *
      * @param message the reason
-     * @param cause what was caught; null if nothing was
+     * @param cause the cause, or null
      */
     public ServeException(String message, Throwable cause) {
       super(message, cause);
@@ -23,9 +23,9 @@
   }
 
   /**
-   * Serves until the process is told to stop.
+   * Serves until the process is stopped.
    *
-   * @param metricsPort where metrics are served; empty for nowhere
+   * @param metricsPort the port for metrics; empty to serve none
    * @param environment the environment variables
    * @throws ServeException if it cannot start
    */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/StatusCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/StatusCommand.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Shows what daemons say about themselves. */
+/** Shows the status of daemons. */
 final class StatusCommand {
 
   private static final Gson GSON =
@@ -34,10 +34,10 @@
           status.addProperty("operators", text(address));
           status.addProperty("ready", ready);
           answers.add(status);
-          code = worse(code, ready ? ExitCode.OK : ExitCode.FAILED);
+          code = worst(code, ready ? ExitCode.OK : ExitCode.FAILED);
         } catch (HttpFailure e) {
           invocation.err().println(text(address) + ": " + e.getMessage());
-          code = worse(code, ExitCode.UNREACHABLE);
+          code = worst(code, ExitCode.UNREACHABLE);
         }
       }
     }
@@ -45,7 +45,7 @@
     return code;
   }
 
-  private static ExitCode worse(ExitCode one, ExitCode other) {
+  private static ExitCode worst(ExitCode one, ExitCode other) {
     return one.code() >= other.code() ? one : other;
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/TimelineCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/TimelineCommand.java
@@ -18,18 +18,18 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Asks daemons for their time lines and merges them. */
+/** Requests the timelines of daemons and merges them. */
 final class TimelineCommand {
 
   private static final String PATH = "/timeline";
 
-  /** Round trips to estimate a clock's offset; the shortest counts, a few find a short one. */
+  /** Round trips per clock estimate; the shortest is used, and a few suffice to get a short one. */
   private static final int PROBES = 5;
 
-  /** Selects no event, so that a probe is short and costs the daemon little. */
-  private static final String PROBE = PATH + "?since=" + Long.MAX_VALUE;
+  /** Matches no event, so that a probe is short and cheap for the daemon. */
+  private static final String PROBE_TARGET = PATH + "?since=" + Long.MAX_VALUE;
 
-  private static final Set<CommandFlag> SENT_AS_GIVEN =
+  private static final Set<CommandFlag> UNCHANGED_FILTERS =
       Set.of(
           CommandFlag.REQUEST,
           CommandFlag.ADAPTER,
@@ -37,7 +37,7 @@
           CommandFlag.KIND,
           CommandFlag.LIMIT);
 
-  private static final Set<CommandFlag> TIMES = Set.of(CommandFlag.SINCE, CommandFlag.UNTIL);
+  private static final Set<CommandFlag> TIME_FILTERS = Set.of(CommandFlag.SINCE, CommandFlag.UNTIL);
 
   private TimelineCommand() {}
 
@@ -50,7 +50,7 @@
     try (CommandClient client = new CommandClient(invocation.timeoutMs())) {
       for (InetSocketAddress address : operators) {
         try {
-          sources.add(ask(client, address, invocation));
+          sources.add(requestTimeline(client, address, invocation));
         } catch (HttpFailure e) {
           invocation.err().println("events of " + address + " are missing: " + e.getMessage());
           code = ExitCode.UNREACHABLE;
@@ -78,7 +78,7 @@
     throw new AssertionError("no flag for filter " + filter);
   }
 
-  private static MergedTimeline.Source ask(
+  private static MergedTimeline.Source requestTimeline(
       CommandClient client, InetSocketAddress address, Invocation invocation)
       throws HttpFailure, CommandException {
     ClockOffset offset = offset(client, address);
@@ -94,7 +94,7 @@
     for (int i = 0; i < PROBES; i++) {
       long sent = wall.millis();
       long start = monotonic.millis();
-      HttpAnswer answer = client.send(HttpCall.to(address, "GET", PROBE));
+      HttpAnswer answer = client.send(HttpCall.to(address, "GET", PROBE_TARGET));
       long took = monotonic.millis() - start;
       ClockOffset found = ClockOffset.of(sent, report(address, answer).nowMs(), sent + took);
       best = best == null ? found : best.tighter(found);
@@ -116,13 +116,13 @@
     }
   }
 
-  /** Returns path and filters, the times moved to the daemon's clock. */
+  /** Returns the path with the filters, the times converted to the daemon's clock. */
   private static String target(Invocation invocation, ClockOffset offset) {
     QueryStringEncoder target = new QueryStringEncoder(PATH);
-    for (CommandFlag flag : SENT_AS_GIVEN) {
+    for (CommandFlag flag : UNCHANGED_FILTERS) {
       invocation.text(flag).ifPresent(text -> target.addParam(flag.option(), text));
     }
-    for (CommandFlag flag : TIMES) {
+    for (CommandFlag flag : TIME_FILTERS) {
       Optional<Long> time = invocation.text(flag).map(Long::valueOf);
       time.ifPresent(ms -> target.addParam(flag.option(), Long.toString(ms + offset.aheadMs())));
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/package-info.java
@@ -1,2 +1,2 @@
-/** The commands of the one binary. */
+/** Commands of the program. */
 package io.sequoiapass.daemon.process.command;
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/command/ApplyCommandTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/command/ApplyCommandTest.java
@@ -64,10 +64,10 @@
   }
 
   @Nested
-  class GoodFile {
+  class ValidFile {
 
     @Test
-    void isWrittenWholeAndThenLeavesNothingToDo() throws IOException {
+    void isWrittenCompletelyAndASecondRunWritesNothing() throws IOException {
       assertThat(apply(FILE).out()).endsWith("5 changes written\n");
       assertThat(platform.keys())
           .containsExactly(
@@ -78,7 +78,7 @@
               "service/intake");
       assertThat(platform.value("endpoint/engine-1")).isEqualTo(ENGINE + ",\"state\":\"ACTIVE\"}");
 
-      assertThat(apply(FILE).out()).isEqualTo("all is as the file asks; nothing to change\n");
+      assertThat(apply(FILE).out()).isEqualTo("the platform matches the file; nothing to change\n");
     }
 
     @Test
@@ -98,22 +98,22 @@
     }
 
     @Test
-    void endpointThatIsLeavingStaysSo() throws IOException {
+    void leavingEndpointKeepsItsState() throws IOException {
       platform.hold("endpoint", "engine-1", ENGINE + ",\"state\":\"LEAVING\"}");
 
       assertThat(apply("{\"endpoints\":{\"engine-1\":" + ENGINE + "}}}").out())
-          .startsWith("all is as the file asks");
+          .startsWith("the platform matches the file");
     }
 
     @Test
-    void removalsGoLastAndOnlyWhereNothingNamesThem() throws IOException {
+    void removalsAreRefusedWhileReferencedAndOrderedByReference() throws IOException {
       apply(FILE);
 
       CommandRun refused = apply("{\"remove\":{\"adapters\":[\"slips\"]}}");
       CommandRun run = apply("{\"remove\":{\"adapters\":[\"slips\"],\"services\":[\"intake\"]}}");
 
       assertThat(refused.code()).isEqualTo(2);
-      assertThat(refused.err()).contains("'slips' is still named by service 'intake'");
+      assertThat(refused.err()).contains("'slips' is still referred to by service 'intake'");
       assertThat(run.out()).startsWith("- service intake\n- adapter slips\n");
       assertThat(platform.keys()).doesNotContain("adapter/slips", "service/intake");
     }
@@ -123,7 +123,7 @@
   class Documentation {
 
     @Test
-    void exampleOfThePageIsAGoodFile() throws Exception {
+    void exampleInTheDocumentationIsValid() throws Exception {
       String example =
           Files.readString(Path.of("..", "docs", "CONFIGURATION-FILE.md"))
               .lines()
@@ -139,7 +139,7 @@
   }
 
   @Nested
-  class BadFile {
+  class InvalidFile {
 
     @ParameterizedTest
     @CsvSource(
@@ -156,9 +156,9 @@
           "127.0.0.1:9|127.0.0.1|line 10|address: '127.0.0.1' is wrong; allowed: IP address",
           "[\"notes\", \"slips\"]|[\"notes\", \"bills\"]|line 7|adapters names 'bills'",
           "\"preset\"|\"presets\"|line 11|'presets' is unknown",
-          "\"PEAK\"|\"PEAK|line 13|no JSON",
+          "\"PEAK\"|\"PEAK|line 13|invalid JSON",
         })
-    void changesNothingAndNamesPlaceValueAndWhatIsAllowed(
+    void isRejectedWithPositionValueAndWhatIsAllowed(
         String good, String bad, String line, String problem) throws IOException {
       assertThat(FILE).contains(good);
 
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void allProblemsAreToldInOneGo() throws IOException {
+    void allProblemsAreReportedTogether() throws IOException {
       CommandRun run = apply(FILE.replace("\"v7\"]", "7]").replace("PEAK", "PEEK"));
 
       assertThat(run.err()).contains("7 is wrong").contains("'PEEK' is wrong");
@@ -178,16 +178,16 @@
   }
 
   /**
-   * An operator's apply meets a platform that loses answers, limits its rate, or takes another
-   * operator's change first. He has to learn what is in force: a change told as refused while it
-   * holds, or told as written while it does not, sends him down the wrong path in an incident.
+   * The platform loses answers, limits the rate, or applies another operator's change first. The
+   * command must not report a change as refused that took effect, or as written that did not: both
+   * would mislead an operator during an incident.
    */
   @Nested
   class Faults {
 
     @Test
     void ownChangeIsRecognisedAfterALostAnswer() throws IOException {
-      platform.next(Fault.NONE, Fault.ANSWER_LOST);
+      platform.injectFaults(Fault.NONE, Fault.ANSWER_LOST);
 
       CommandRun run = apply(FILE);
 
@@ -200,22 +200,22 @@
     @Test
     void removalIsRecognisedAfterALostAnswer() throws IOException {
       apply(FILE);
-      platform.next(Fault.ANSWER_LOST);
+      platform.injectFaults(Fault.ANSWER_LOST);
 
       assertThat(apply("{\"remove\":{\"endpoints\":[\"engine-1\"]}}").code()).isZero();
     }
 
     @Test
-    void lostRequestAndRateLimitAreTriedAgain() throws IOException {
-      platform.next(Fault.REQUEST_LOST, Fault.RATE_EXCEEDED);
+    void lostRequestAndRateLimitAreRetried() throws IOException {
+      platform.injectFaults(Fault.REQUEST_LOST, Fault.RATE_EXCEEDED);
 
       assertThat(apply(FILE).code()).isZero();
       assertThat(platform.revision()).isEqualTo(5);
     }
 
     @Test
-    void conflictSaysWhatWasWrittenAndASecondRunFinishes() throws IOException {
-      platform.next(Fault.NONE, Fault.OVERTAKEN);
+    void conflictReportsWhatWasWrittenAndASecondRunCompletes() throws IOException {
+      platform.injectFaults(Fault.NONE, Fault.OVERTAKEN);
 
       CommandRun run = apply(FILE);
 
@@ -228,18 +228,18 @@
     }
 
     @Test
-    void ownChangeOvertakenAfterALostAnswerIsToldAsPerhapsInForce() throws IOException {
-      platform.next(Fault.LOST_AND_OVERTAKEN);
+    void changeOverwrittenAfterALostAnswerIsReportedAsPossiblyApplied() throws IOException {
+      platform.injectFaults(Fault.LOST_AND_OVERTAKEN);
 
       CommandRun run = apply(FILE);
 
       assertThat(run.code()).isEqualTo(3);
-      assertThat(run.err()).contains("this change may have been in force before that");
+      assertThat(run.err()).contains("this change may have been in effect before that");
     }
 
     @Test
-    void platformThatLosesEveryAnswerLeavesTheEffectOpen() throws IOException {
-      platform.next(
+    void lossOfEveryAnswerIsReportedAsUnknownOutcome() throws IOException {
+      platform.injectFaults(
           Fault.REQUEST_LOST,
           Fault.REQUEST_LOST,
           Fault.REQUEST_LOST,
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void platformThatIsAwayExitsWithFour() throws IOException {
+    void unreachablePlatformExitsWithFour() throws IOException {
       CommandRun run = apply(FILE, "--platform", "127.0.0.1:1");
 
       assertThat(run.code()).isEqualTo(4);
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/command/CommandRun.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/command/CommandRun.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Holds what one run of a command gave: its exit code and what it printed. */
+/** Result of one run of a command: its exit code and output. */
 record CommandRun(int code, String out, String err) {
 
   static CommandRun of(Map<String, String> environment, String... arguments) {
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/command/CommandTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/command/CommandTest.java
@@ -33,7 +33,7 @@
         "show|KIND|things|adapter, service",
         "preset|NAME|QUIET|[ORDINARY, PEAK, MAINTENANCE]",
       })
-  void wrongWordNamesItselfAndWhatIsAllowed(
+  void invalidArgumentIsReportedWithWhatIsAllowed(
       String command, String name, String word, String allowed) {
     CommandRun run = CommandRun.of(Map.of(), command, word);
 
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void settingMayComeFromTheEnvironment() {
+  void settingIsReadFromTheEnvironment() {
     Map<String, String> environment = Map.of("SEQUOIAPASS_PLATFORM", "nowhere");
 
     assertThat(CommandRun.of(environment, "show", "adapter").err())
@@ -60,7 +60,7 @@
 
   @ParameterizedTest
   @EnumSource(Command.class)
-  void pageShowsTheUsage(Command command) throws IOException {
+  void documentationContainsTheUsage(Command command) throws IOException {
     Page.assertHolds("COMMANDS.md", "## " + command.word());
     if (command != Command.ENTRY) {
       Page.assertHolds("COMMANDS.md", command.usage());
@@ -69,7 +69,7 @@
 
   @ParameterizedTest
   @EnumSource(ExitCode.class)
-  void pageShowsTheExitCode(ExitCode code) throws IOException {
+  void documentationContainsTheExitCode(ExitCode code) throws IOException {
     Page.assertHolds("COMMANDS.md", "| " + code.code() + " | " + code.meaning() + " |");
   }
 }
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/command/ExplainCommandTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/command/ExplainCommandTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void linesOfSeveralFilesAreAddedUp() throws IOException {
+  void severalFilesAreCombined() throws IOException {
     String first =
         file(
             "north.log",
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void fileThatCannotBeReadIsNamed() {
+  void unreadableFileIsReported() {
     CommandRun run = CommandRun.of(Map.of(), "explain", folder.resolve("none.log").toString());
 
     assertThat(run.code()).isEqualTo(1);
@@ -47,6 +47,6 @@
     CommandRun run = CommandRun.of(Map.of(), "explain", file("empty.log", "hello\n"));
 
     assertThat(run.code()).isEqualTo(1);
-    assertThat(run.err()).contains("no decision line in");
+    assertThat(run.err()).contains("no decision log entry in");
   }
 }
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/command/FakePlatform.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/command/FakePlatform.java
@@ -21,12 +21,12 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
-/** Stands in for the platform's object API in one process; safe for use by several threads. */
+/** In-process fake of the platform's object API; safe for use by several threads. */
 final class FakePlatform implements AutoCloseable {
 
-  /** What happens to one write. */
+  /** Fault injected into one write. */
   enum Fault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
     /** The change takes effect and the answer is lost. */
     ANSWER_LOST,
@@ -34,9 +34,9 @@
     REQUEST_LOST,
     /** The rate is exceeded. */
     RATE_EXCEEDED,
-    /** Somebody else changes the object first. */
+    /** Another client changes the object first. */
     OVERTAKEN,
-    /** The change takes effect, the answer is lost, and somebody else changes the object. */
+    /** The change takes effect, the answer is lost, and another client changes the object. */
     LOST_AND_OVERTAKEN
   }
 
@@ -60,8 +60,8 @@
     return "127.0.0.1:" + server.port();
   }
 
-  /** Says what happens to the next writes, one after the other. */
-  synchronized void next(Fault... given) {
+  /** Injects faults into the next writes, one each. */
+  synchronized void injectFaults(Fault... given) {
     faults.addAll(List.of(given));
   }
 
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/command/OperatorCommandsTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/command/OperatorCommandsTest.java
@@ -28,7 +28,7 @@
 
 class OperatorCommandsTest {
 
-  private static final String NOBODY = "127.0.0.1:1";
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
   private static final long AHEAD_MS = 3_600_000;
 
   private final EventLoopGroup group =
@@ -36,7 +36,7 @@
   private FakeDaemon one;
   private FakeDaemon two;
 
-  /** Answers like a daemon's operator port. */
+  /** Fake of a daemon's operator port. */
   private static final class FakeDaemon {
 
     final Timeline timeline;
@@ -105,17 +105,17 @@
   class DrainDaemon {
 
     @Test
-    void asksOnlyTheDaemonNamed() {
+    void drainsOnlyTheNamedDaemon() {
       assertThat(both("drain", "daemon", "entry-2").code()).isZero();
       assertThat(one.drains).hasValue(0);
       assertThat(two.drains).hasValue(1);
     }
 
     @Test
-    void daemonThatIsNotFoundMayBeTheSilentOne() {
+    void unknownDaemonExitsWithFourIfAnAddressDoesNotAnswer() {
       assertThat(both("drain", "daemon", "entry-3").code()).isEqualTo(1);
       assertThat(
-              both("drain", "daemon", "entry-3", "--operators", one.address() + "," + NOBODY)
+              both("drain", "daemon", "entry-3", "--operators", one.address() + "," + UNREACHABLE_ADDRESS)
                   .code())
           .isEqualTo(4);
     }
@@ -137,12 +137,12 @@
     }
 
     @Test
-    void silentDaemonExitsWithFour() {
-      CommandRun run = both("status", "--operators", one.address() + "," + NOBODY);
+    void unresponsiveDaemonExitsWithFour() {
+      CommandRun run = both("status", "--operators", one.address() + "," + UNREACHABLE_ADDRESS);
 
       assertThat(run.code()).isEqualTo(4);
       assertThat(run.out()).contains("entry-1\n");
-      assertThat(run.err()).contains(NOBODY);
+      assertThat(run.err()).contains(UNREACHABLE_ADDRESS);
     }
   }
 
@@ -150,8 +150,8 @@
   class MergedTimelines {
 
     /**
-     * A request went from the second daemon, whose clock is an hour ahead, to the first. Read by
-     * bare wall times the answer seems to come an hour before the question.
+     * A request is forwarded from the second daemon, whose clock is an hour ahead, to the first. With
+     * uncorrected wall times the effect would appear an hour before its cause.
      */
     @Test
     void clockAnHourAheadIsCorrectedAndShown() {
@@ -171,10 +171,10 @@
     }
 
     @Test
-    void silentDaemonIsNamedAndTheRestIsShown() {
+    void unresponsiveDaemonIsReportedAndTheRestIsShown() {
       one.record("r1");
 
-      CommandRun run = both("timeline", "--json", "--operators", NOBODY + "," + one.address());
+      CommandRun run = both("timeline", "--json", "--operators", UNREACHABLE_ADDRESS + "," + one.address());
 
       assertThat(run.code()).isEqualTo(4);
       assertThat(run.err()).contains("are missing");
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/command/PlatformCommandsTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/command/PlatformCommandsTest.java
@@ -32,7 +32,7 @@
   class Show {
 
     @Test
-    void oneOrAllObjectsOfAKind() {
+    void printsOneOrAllObjectsOfAKind() {
       platform.hold("adapter", "notes", "{\"current\":\"v7\"}");
       platform.hold("adapter", "bills", "{\"current\":\"v1\"}");
 
@@ -48,7 +48,7 @@
   class Preset {
 
     @Test
-    void comesIntoForceAheadOfNow() {
+    void takesEffectAfterTheDelay() {
       long before = System.currentTimeMillis();
 
       assertThat(run("preset", "PEAK", "--in-ms", "60000").code()).isZero();
@@ -57,16 +57,16 @@
       assertThat(value).startsWith("{\"preset\":\"PEAK\",\"effective_at\":");
       long at = Long.parseLong(value.replaceAll("[^0-9]", ""));
       assertThat(at).isBetween(before + 60_000, System.currentTimeMillis() + 60_000);
-      assertThat(run("preset", "PEAK").out()).isEqualTo("preset PEAK is chosen already\n");
+      assertThat(run("preset", "PEAK").out()).isEqualTo("preset PEAK is already selected\n");
     }
 
     /**
-     * Two operators choose a preset at the same moment. The second one is told that another came
-     * first and what is chosen; had his command won silently, each would believe in his own.
+     * Two operators select a preset concurrently. The later command must report the conflict and the
+     * selected preset; if it overwrote the first silently, each operator would assume his own.
      */
     @Test
-    void racingOperatorIsTold() {
-      platform.next(Fault.OVERTAKEN);
+    void concurrentSelectionIsReported() {
+      platform.injectFaults(Fault.OVERTAKEN);
 
       CommandRun run = run("preset", "PEAK");
 
@@ -79,13 +79,13 @@
   class DrainEndpoint {
 
     /**
-     * An operator drains an endpoint while another change moves it to a new host. Writing the value
-     * read before over that change would undo it, so the object is read again.
+     * An endpoint is drained while a concurrent change moves it to a new host. Writing back the value
+     * read earlier would undo that change, so the object must be read again.
      */
     @Test
-    void keepsARacingChangeOfOtherMembers() {
+    void keepsAConcurrentChangeOfOtherMembers() {
       platform.hold("endpoint", "engine-1", "{\"host\":\"h1\",\"state\":\"ACTIVE\"}");
-      platform.next(Fault.OVERTAKEN);
+      platform.injectFaults(Fault.OVERTAKEN);
 
       assertThat(run("drain", "endpoint", "engine-1").out())
           .isEqualTo("endpoint engine-1 is LEAVING\n");
