--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ControlRounds.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ControlRounds.java
@@ -76,7 +76,8 @@
     // Ready before the owners are known and connected, a new daemon would refuse the requests that
     // the load balancer sends. Both take moments, except for a dead peer; hence the time limit.
     reachesOwners |=
-        peers.reaches(ownership.owners()) || clock.millis() - startedAt >= OWNERS_CONNECT_TIMEOUT_MS;
+        peers.reaches(ownership.owners())
+            || clock.millis() - startedAt >= OWNERS_CONNECT_TIMEOUT_MS;
     if (ownership.isHeartbeatDue()) {
       peers.neighbours().forEach(this::sendHeartbeat);
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/EntryDaemon.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/EntryDaemon.java
@@ -238,7 +238,12 @@
     return new Owner(
         () ->
             new OwnerShard(
-                clock, placement.placement(), engines, new OwnershipGate(), events, settings.admission()),
+                clock,
+                placement.placement(),
+                engines,
+                new OwnershipGate(),
+                events,
+                settings.admission()),
         new ServicePool(clock, http, events, settings.admission()));
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/LocalEntry.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/LocalEntry.java
@@ -5,7 +5,9 @@
 import io.sequoiapass.daemon.connection.peer.PeerMessage;
 import io.sequoiapass.daemon.process.entry.Entries;
 
-/** Delivers messages from this process's own owner to its entry; safe for use by several threads. */
+/**
+ * Delivers messages from this process's own owner to its entry; safe for use by several threads.
+ */
 record LocalEntry(Entries entries) implements PeerListener {
 
   @Override
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/PeerNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/PeerNode.java
@@ -143,7 +143,9 @@
     return !owners.isEmpty() && owners.stream().allMatch(owner -> to(owner).isPresent());
   }
 
-  /** Closes the connection to an unresponsive peer, so that requests in flight stop waiting for it. */
+  /**
+   * Closes the connection to an unresponsive peer, so that requests in flight stop waiting for it.
+   */
   void reset(DaemonId peer) {
     links.reset(peer);
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/StopSequence.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/StopSequence.java
@@ -55,7 +55,8 @@
   /**
    * Creates a sequence that has not begun.
    *
-   * @param graceMs how long requests are still accepted after the stop was requested, in milliseconds
+   * @param graceMs how long requests are still accepted after the stop was requested, in
+   *     milliseconds
    * @param limitMs the longest duration of the stop, grace included, in milliseconds
    */
   StopSequence(long graceMs, long limitMs) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ApplyCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ApplyCommand.java
@@ -14,8 +14,9 @@
 /**
  * Applies a configuration file to the platform.
  *
- * <p>The complete file is validated, then checked against the platform, before the first write. Each
- * write is conditional on the version that was compared. A repeated run writes only what is missing.
+ * <p>The complete file is validated, then checked against the platform, before the first write.
+ * Each write is conditional on the version that was compared. A repeated run writes only what is
+ * missing.
  */
 final class ApplyCommand {
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ChangePlan.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ChangePlan.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 
 /**
- * Difference between a configuration file and the platform, as writes in an order in which no object
- * refers to one that does not exist yet.
+ * Difference between a configuration file and the platform, as writes in an order in which no
+ * object refers to one that does not exist yet.
  *
  * <p>Not safe for use by several threads.
  */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/Command.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/Command.java
@@ -136,7 +136,8 @@
     }
   },
   /** Reports late and failed requests from decision logs. */
-  EXPLAIN("FILE...", "report from daemons' decision logs which requests were late or failed, and why") {
+  EXPLAIN(
+      "FILE...", "report from daemons' decision logs which requests were late or failed, and why") {
     @Override
     ExitCode execute(Invocation invocation) throws CommandException, SettingsException {
       return ExplainCommand.run(invocation);
@@ -161,7 +162,8 @@
   abstract ExitCode execute(Invocation invocation) throws CommandException, SettingsException;
 
   /**
-   * Runs the command named by the first argument, with the process's environment and output streams.
+   * Runs the command named by the first argument, with the process's environment and output
+   * streams.
    *
    * @param arguments the name of the command, followed by its arguments
    * @return the exit code
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ConfigurationFile.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ConfigurationFile.java
@@ -58,7 +58,9 @@
     return new ConfigurationFile(List.copyOf(objects), removals, preset);
   }
 
-  /** Reads the removals in reverse order of kinds: objects are deleted before those they refer to. */
+  /**
+   * Reads the removals in reverse order of kinds: objects are deleted before those they refer to.
+   */
   private static List<Removal> removals(FileObject file) {
     Optional<FileObject> remove = file.object("remove");
     if (remove.isEmpty()) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/DrainCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/DrainCommand.java
@@ -100,7 +100,8 @@
     } catch (HttpFailure e) {
       throw new CommandException(
           ExitCode.UNREACHABLE,
-          e.getMessage() + (e.mayHaveReached() ? "; it may be draining" : "; the drain request was not sent"));
+          e.getMessage()
+              + (e.mayHaveReached() ? "; it may be draining" : "; the drain request was not sent"));
     }
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/Invocation.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/Invocation.java
@@ -93,7 +93,8 @@
   List<String> words(int minimum, int maximum, String usage) throws SettingsException {
     List<String> words = line.getArgList();
     if (words.size() < minimum || words.size() > maximum) {
-      throw SettingsException.unreadable("wrong number of arguments: " + words + "; usage: " + usage);
+      throw SettingsException.unreadable(
+          "wrong number of arguments: " + words + "; usage: " + usage);
     }
     return words;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/OperatorClient.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/OperatorClient.java
@@ -42,7 +42,8 @@
       throw new CommandException(
           ExitCode.FAILED, "daemon at " + address + " sent invalid JSON: " + e.getMessage());
     }
-    throw new CommandException(ExitCode.FAILED, "daemon at " + address + " did not report its name");
+    throw new CommandException(
+        ExitCode.FAILED, "daemon at " + address + " did not report its name");
   }
 
   /** Returns whether the daemon accepts requests. */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/PresetCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/PresetCommand.java
@@ -11,7 +11,9 @@
 import java.util.Optional;
 import java.util.UUID;
 
-/** Activates a preset at a time in the near future, so that all daemons have received it by then. */
+/**
+ * Activates a preset at a time in the near future, so that all daemons have received it by then.
+ */
 final class PresetCommand {
 
   private static final String PRESET = "preset";
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ServeCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ServeCommand.java
@@ -20,7 +20,9 @@
         ServiceLoader.load(ServeProgram.class)
             .findFirst()
             .orElseThrow(
-                () -> new CommandException(ExitCode.FAILED, "this program contains no daemon to serve"));
+                () ->
+                    new CommandException(
+                        ExitCode.FAILED, "this program contains no daemon to serve"));
     try {
       program.serve(port, invocation.environment());
       return ExitCode.OK;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/explain/LossReport.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/explain/LossReport.java
@@ -173,8 +173,7 @@
     long[] first = streams.stream().mapToLong(RequestTrace::responseMs).sorted().toArray();
     int refused = ended.stream().mapToInt(RequestTrace::refusedByEndpoints).sum();
     out.printf(
-        "first events: p50 %d ms, p90 %d ms; beyond the expected time: p50 %d ms, p90"
-            + " %d ms%n",
+        "first events: p50 %d ms, p90 %d ms; beyond the expected time: p50 %d ms, p90 %d ms%n",
         quantile(first, 0.5), quantile(first, 0.9), quantile(beyond, 0.5), quantile(beyond, 0.9));
     out.printf("refused by endpoints: %d attempts%n", refused);
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/explain/RequestTrace.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/explain/RequestTrace.java
@@ -64,7 +64,9 @@
     return end.number("first_ms") >= 0;
   }
 
-  /** Returns the time to the first token of a stream or to the answer otherwise, in milliseconds. */
+  /**
+   * Returns the time to the first token of a stream or to the answer otherwise, in milliseconds.
+   */
   long responseMs() {
     return isStream() ? end.number("first_ms") : end.number("took_ms");
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/log/EventLog.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/log/EventLog.java
@@ -49,8 +49,8 @@
    * Logs one event.
    *
    * @param event the event
-   * @param arguments the arguments of its format; an additional trailing {@link Throwable} is logged
-   *     as the event's cause
+   * @param arguments the arguments of its format; an additional trailing {@link Throwable} is
+   *     logged as the event's cause
    */
   public static void log(LogEvent event, Object... arguments) {
     Logger logger = Logger.getLogger(event.id());
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/log/LogEvent.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/log/LogEvent.java
@@ -128,7 +128,10 @@
           + " sending it again."),
   /** A fault in this program. */
   INTERNAL_ERROR(
-      22, Level.ERROR, "internal error in %s", "A fault in the program. Report it with the stack trace."),
+      22,
+      Level.ERROR,
+      "internal error in %s",
+      "A fault in the program. Report it with the stack trace."),
   /** Requests were refused because of overload. */
   REFUSED_OVERLOAD(
       23,
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/package-info.java
@@ -1,2 +1,4 @@
-/** The entry daemon's process: its assembly, timers, planned stop, log events and operators' API. */
+/**
+ * The entry daemon's process: its assembly, timers, planned stop, log events and operators' API.
+ */
 package io.sequoiapass.daemon.process;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/settings/Addresses.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/settings/Addresses.java
@@ -22,8 +22,8 @@
   public static final String ALLOWED = "IP address or localhost, a colon, a port 1 to 65535";
 
   /**
-   * Literal addresses only: resolving a host name while settings are read could block on a slow name
-   * server, and the process would appear not to start.
+   * Literal addresses only: resolving a host name while settings are read could block on a slow
+   * name server, and the process would appear not to start.
    */
   private static final Pattern ADDRESS =
       Pattern.compile("(localhost|[0-9]{1,3}(?:\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:.]+]):([0-9]{1,5})");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/settings/Setting.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/settings/Setting.java
@@ -28,7 +28,8 @@
       "127.0.0.1",
       "the address that all three ports listen on",
       "loopback by default, so that no port is exposed by accident"),
-  CALLER_PORT(0, 65_535, "8080", "", "port for callers; 0 selects a free port", "HTTP's usual port"),
+  CALLER_PORT(
+      0, 65_535, "8080", "", "port for callers; 0 selects a free port", "HTTP's usual port"),
   OPERATOR_PORT(
       0,
       65_535,
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/InvalidQueryException.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/InvalidQueryException.java
@@ -1,6 +1,9 @@
 package io.sequoiapass.daemon.process.timeline;
 
-/** Thrown for an invalid filter of a timeline query; names the filter, its value and what is allowed. */
+/**
+ * Thrown for an invalid filter of a timeline query; names the filter, its value and what is
+ * allowed.
+ */
 public final class InvalidQueryException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/TimelineQuery.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/timeline/TimelineQuery.java
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Parses a query from named filters: {@code since} and {@code until} in milliseconds of
-   * the wall clock, {@code request}, {@code adapter} (with or without {@code @version}), {@code
-   * endpoint}, {@code kind} (several separated by commas), and {@code limit}.
+   * Parses a query from named filters: {@code since} and {@code until} in milliseconds of the wall
+   * clock, {@code request}, {@code adapter} (with or without {@code @version}), {@code endpoint},
+   * {@code kind} (several separated by commas), and {@code limit}.
    *
    * @param filters returns the text of a filter, or empty if it is not given
    * @throws InvalidQueryException if the value of a filter is invalid
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/command/OperatorCommandsTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/command/OperatorCommandsTest.java
@@ -115,7 +115,12 @@
     void unknownDaemonExitsWithFourIfAnAddressDoesNotAnswer() {
       assertThat(both("drain", "daemon", "entry-3").code()).isEqualTo(1);
       assertThat(
-              both("drain", "daemon", "entry-3", "--operators", one.address() + "," + UNREACHABLE_ADDRESS)
+              both(
+                      "drain",
+                      "daemon",
+                      "entry-3",
+                      "--operators",
+                      one.address() + "," + UNREACHABLE_ADDRESS)
                   .code())
           .isEqualTo(4);
     }
@@ -150,8 +155,8 @@
   class MergedTimelines {
 
     /**
-     * A request is forwarded from the second daemon, whose clock is an hour ahead, to the first. With
-     * uncorrected wall times the effect would appear an hour before its cause.
+     * A request is forwarded from the second daemon, whose clock is an hour ahead, to the first.
+     * With uncorrected wall times the effect would appear an hour before its cause.
      */
     @Test
     void clockAnHourAheadIsCorrectedAndShown() {
@@ -174,7 +179,8 @@
     void unresponsiveDaemonIsReportedAndTheRestIsShown() {
       one.record("r1");
 
-      CommandRun run = both("timeline", "--json", "--operators", UNREACHABLE_ADDRESS + "," + one.address());
+      CommandRun run =
+          both("timeline", "--json", "--operators", UNREACHABLE_ADDRESS + "," + one.address());
 
       assertThat(run.code()).isEqualTo(4);
       assertThat(run.err()).contains("are missing");
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/command/PlatformCommandsTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/command/PlatformCommandsTest.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Two operators select a preset concurrently. The later command must report the conflict and the
-     * selected preset; if it overwrote the first silently, each operator would assume his own.
+     * Two operators select a preset concurrently. The later command must report the conflict and
+     * the selected preset; if it overwrote the first silently, each operator would assume his own.
      */
     @Test
     void concurrentSelectionIsReported() {
@@ -79,8 +79,8 @@
   class DrainEndpoint {
 
     /**
-     * An endpoint is drained while a concurrent change moves it to a new host. Writing back the value
-     * read earlier would undo that change, so the object must be read again.
+     * An endpoint is drained while a concurrent change moves it to a new host. Writing back the
+     * value read earlier would undo that change, so the object must be read again.
      */
     @Test
     void keepsAConcurrentChangeOfOtherMembers() {
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/settings/EntrySettingsTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/settings/EntrySettingsTest.java
@@ -119,7 +119,8 @@
           "--heartbeat-interval-ms|1001|50 to 1000 ms at --lease-duration-ms 3000",
           "--retry-budget-percent|101|0 to 100 %",
         })
-    void invalidValueIsReportedWithSettingValueAndWhatIsAllowed(String flag, String value, String allowed) {
+    void invalidValueIsReportedWithSettingValueAndWhatIsAllowed(
+        String flag, String value, String allowed) {
       assertThatThrownBy(() -> parse(flag, value))
           .isInstanceOf(SettingsException.class)
           .hasMessageContaining(flag + " (SEQUOIAPASS_")
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/timeline/MergedTimelineTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/timeline/MergedTimelineTest.java
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Guards against a merge by time alone: if a host's clock is set back by 1 s between two events,
-     * the effect would appear before its cause. The sequence numbers of a process are always in
-     * order.
+     * Guards against a merge by time alone: if a host's clock is set back by 1 s between two
+     * events, the effect would appear before its cause. The sequence numbers of a process are
+     * always in order.
      */
     @Test
     void clockSetBackDoesNotReorderAProcess() {
