--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ChangePlan.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ChangePlan.java
@@ -30,12 +30,12 @@
   ChangePlan(ConfigurationFile file, PlatformSession platform) throws CommandException {
     this.file = file;
     for (ObjectFormat format : ObjectFormat.values()) {
-      hold(format.kind(), platform.list(format.kind()));
+      index(format.kind(), platform.list(format.kind()));
     }
-    hold(PlatformKind.PRESET, platform.list(PlatformKind.PRESET));
+    index(PlatformKind.PRESET, platform.list(PlatformKind.PRESET));
   }
 
-  private void hold(PlatformKind kind, List<StoredObject> objects) {
+  private void index(PlatformKind kind, List<StoredObject> objects) {
     Map<String, StoredObject> byName = new LinkedHashMap<>();
     objects.forEach(object -> byName.put(object.name(), object));
     held.put(kind, byName);
@@ -113,7 +113,7 @@
     for (String name : named(desired.value(), member)) {
       if (!existing.get(kind).contains(name)) {
         problems.add(
-            desired.place()
+            desired.position()
                 + ": "
                 + member
                 + " names '"
@@ -171,7 +171,7 @@
 
   private static String stillReferenced(
       ConfigurationFile.Removal removal, PlatformKind kind, String name) {
-    return removal.place()
+    return removal.position()
         + ": "
         + removal.kind().word()
         + " '"
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/ConfigurationFile.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/ConfigurationFile.java
@@ -22,18 +22,18 @@
    * @param kind its kind
    * @param name its name
    * @param value its value
-   * @param place its position in the file
+   * @param position its position in the file
    */
-  record Desired(PlatformKind kind, String name, JsonObject value, String place) {}
+  record Desired(PlatformKind kind, String name, JsonObject value, String position) {}
 
   /**
    * One object to delete.
    *
    * @param kind its kind
    * @param name its name
-   * @param place its position in the file
+   * @param position its position in the file
    */
-  record Removal(PlatformKind kind, String name, String place) {}
+  record Removal(PlatformKind kind, String name, String position) {}
 
   static ConfigurationFile parse(String text) throws FileProblem {
     List<String> problems = new ArrayList<>();
@@ -44,7 +44,7 @@
         FileObject object = new FileObject(entry.getValue(), problems);
         JsonObject value = format.read(object);
         object.rejectUnknown();
-        objects.add(new Desired(format.kind(), entry.getKey(), value, object.place()));
+        objects.add(new Desired(format.kind(), entry.getKey(), value, object.position()));
       }
     }
     Optional<Preset> preset =
@@ -72,7 +72,7 @@
       String member = formats[i].member();
       if (remove.get().has(member)) {
         for (String name : remove.get().names(member, false)) {
-          removals.add(new Removal(formats[i].kind(), name, remove.get().place()));
+          removals.add(new Removal(formats[i].kind(), name, remove.get().position()));
         }
       }
     }
@@ -86,13 +86,13 @@
       for (Desired desired : objects) {
         if (desired.kind() == removal.kind() && desired.name().equals(removal.name())) {
           problems.add(
-              removal.place()
+              removal.position()
                   + ": "
                   + removal.kind().word()
                   + " '"
                   + removal.name()
                   + "' is removed here and given at "
-                  + desired.place());
+                  + desired.position());
         }
       }
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/FileObject.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/FileObject.java
@@ -39,15 +39,15 @@
   }
 
   void addProblem(FileValue found, String allowed) {
-    problems.add(found.place() + ": " + found.shown() + " is wrong; allowed: " + allowed);
+    problems.add(found.position() + ": " + found.description() + " is wrong; allowed: " + allowed);
   }
 
   static boolean isName(String text) {
     return text.matches(NAME_PATTERN);
   }
 
-  String place() {
-    return value.place();
+  String position() {
+    return value.position();
   }
 
   boolean has(String member) {
@@ -58,7 +58,7 @@
   /** Returns a member, or null after recording a problem if it is absent. */
   private FileValue required(String member, String allowed) {
     if (!has(member)) {
-      problems.add(value.place() + ": '" + member + "' is not given; allowed: " + allowed);
+      problems.add(value.position() + ": '" + member + "' is not given; allowed: " + allowed);
       return null;
     }
     return value.members().get(member);
@@ -76,7 +76,7 @@
     for (Map.Entry<String, FileValue> entry : holder.members().entrySet()) {
       if (!isName(entry.getKey())) {
         problems.add(
-            entry.getValue().place()
+            entry.getValue().position()
                 + ": name '"
                 + entry.getKey()
                 + "' is wrong; allowed: "
@@ -164,7 +164,7 @@
     for (Map.Entry<String, FileValue> member : value.members().entrySet()) {
       if (!knownMembers.contains(member.getKey())) {
         problems.add(
-            member.getValue().place()
+            member.getValue().position()
                 + ": '"
                 + member.getKey()
                 + "' is unknown; allowed: "
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/FileValue.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/FileValue.java
@@ -19,14 +19,14 @@
  * <p>Gson's own tree keeps no positions and silently drops the first of two members with the same
  * name.
  *
- * @param place line, column and path
+ * @param position line, column and path
  * @param type the type of the value
  * @param text the text of a scalar, else empty
  * @param members the members of an object, else empty
  * @param items the items of an array, else empty
  */
 record FileValue(
-    String place,
+    String position,
     JsonToken type,
     String text,
     Map<String, FileValue> members,
@@ -42,38 +42,38 @@
     try {
       FileValue value = read(reader, 0);
       if (reader.peek() != JsonToken.END_DOCUMENT) {
-        throw new FileProblem(place(reader) + ": unexpected text after the end");
+        throw new FileProblem(position(reader) + ": unexpected text after the end");
       }
       return value;
     } catch (MalformedJsonException | JsonParseException | IllegalStateException e) {
-      throw new FileProblem(place(reader) + ": invalid JSON: " + firstLine(e));
+      throw new FileProblem(position(reader) + ": invalid JSON: " + firstLine(e));
     } catch (EOFException e) {
-      throw new FileProblem(place(reader) + ": unexpected end of file");
+      throw new FileProblem(position(reader) + ": unexpected end of file");
     } catch (IOException e) {
-      throw new FileProblem(place(reader) + ": " + firstLine(e));
+      throw new FileProblem(position(reader) + ": " + firstLine(e));
     }
   }
 
   private static FileValue read(JsonReader reader, int depth) throws IOException, FileProblem {
     JsonToken type = reader.peek();
-    String place = place(reader);
+    String position = position(reader);
     if (depth > MAX_DEPTH) {
-      throw new FileProblem(place + ": nested deeper than " + MAX_DEPTH);
+      throw new FileProblem(position + ": nested deeper than " + MAX_DEPTH);
     }
     return switch (type) {
-      case BEGIN_OBJECT -> new FileValue(place, type, "", members(reader, depth), List.of());
-      case BEGIN_ARRAY -> new FileValue(place, type, "", Map.of(), items(reader, depth));
-      case BOOLEAN -> scalar(place, type, Boolean.toString(reader.nextBoolean()));
+      case BEGIN_OBJECT -> new FileValue(position, type, "", members(reader, depth), List.of());
+      case BEGIN_ARRAY -> new FileValue(position, type, "", Map.of(), items(reader, depth));
+      case BOOLEAN -> scalar(position, type, Boolean.toString(reader.nextBoolean()));
       case NULL -> {
         reader.nextNull();
-        yield scalar(place, type, "null");
+        yield scalar(position, type, "null");
       }
-      default -> scalar(place, type, reader.nextString());
+      default -> scalar(position, type, reader.nextString());
     };
   }
 
-  private static FileValue scalar(String place, JsonToken type, String text) {
-    return new FileValue(place, type, text, Map.of(), List.of());
+  private static FileValue scalar(String position, JsonToken type, String text) {
+    return new FileValue(position, type, text, Map.of(), List.of());
   }
 
   private static Map<String, FileValue> members(JsonReader reader, int depth)
@@ -84,7 +84,7 @@
       String name = reader.nextName();
       FileValue value = read(reader, depth + 1);
       if (members.put(name, value) != null) {
-        throw new FileProblem(value.place + ": '" + name + "' is given twice");
+        throw new FileProblem(value.position + ": '" + name + "' is given twice");
       }
     }
     reader.endObject();
@@ -102,7 +102,7 @@
     return items;
   }
 
-  private static String place(JsonReader reader) {
+  private static String position(JsonReader reader) {
     return reader.toString().replaceFirst("^JsonReader at ", "");
   }
 
@@ -111,7 +111,7 @@
   }
 
   /** Returns the value as shown in error messages. */
-  String shown() {
+  String description() {
     return switch (type) {
       case BEGIN_OBJECT -> "an object";
       case BEGIN_ARRAY -> "an array";
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/StatusCommand.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/StatusCommand.java
@@ -63,12 +63,12 @@
       JsonObject status = answer.getAsJsonObject();
       out.println(OperatorClient.name(status));
       for (Map.Entry<String, JsonElement> member : status.entrySet()) {
-        out.println("  " + member.getKey() + ": " + shown(member.getValue()));
+        out.println("  " + member.getKey() + ": " + format(member.getValue()));
       }
     }
   }
 
-  private static String shown(JsonElement value) {
+  private static String format(JsonElement value) {
     return value.isJsonPrimitive() ? value.getAsString() : value.toString();
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/settings/EntrySettings.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/settings/EntrySettings.java
@@ -145,11 +145,11 @@
     out.print(" --platform HOST:PORT [flags]\n\n");
     out.print("Runs one entry daemon until it is stopped.\n\n");
     for (Setting setting : Setting.values()) {
-      String standard = setting.defaultValue();
+      String defaultValue = setting.defaultValue();
       out.print("  " + setting.flag() + " (" + setting.variable() + ")\n");
       out.print("      " + setting.meaning() + "\n");
       out.print("      allowed: " + setting.allowed());
-      out.print(standard == null ? "; has to be given\n" : "; default: '" + standard + "'\n");
+      out.print(defaultValue == null ? "; required\n" : "; default: '" + defaultValue + "'\n");
     }
     return text.toString();
   }
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/log/LogEventTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/log/LogEventTest.java
@@ -44,7 +44,7 @@
   void pageListsEveryEvent() throws IOException {
     StringBuilder page = new StringBuilder("# Log events\n\n");
     page.append("Each line of the log names one of these numbers. A number never changes its");
-    page.append(" meaning. This page is\ngenerated from the code and a test holds it to it; see");
+    page.append(" meaning. This page is\ngenerated from the code and checked by a test; see");
     page.append(" [CONTRIBUTING](../CONTRIBUTING.md).\n");
     for (LogEvent event : LogEvent.values()) {
       page.append("\n## ").append(event.id()).append(' ').append(event.name()).append("\n\n");
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/settings/EntrySettingsTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/settings/EntrySettingsTest.java
@@ -162,15 +162,16 @@
       page.append("Each setting has a flag and an environment variable; the flag wins. A wrong");
       page.append(
           " value names the\nsetting, the value and what is allowed, and the process exits");
-      page.append(" with 2. This page is generated from the\ncode and a test holds it to it; see");
+      page.append(" with 2. This page is generated from the\ncode and checked by a test; see");
       page.append(" [CONTRIBUTING](../CONTRIBUTING.md).\n");
       for (Setting setting : Setting.values()) {
-        String standard = setting.defaultValue();
+        String defaultValue = setting.defaultValue();
         page.append("\n## `").append(setting.flag()).append("`\n\n");
         page.append("- variable: `").append(setting.variable()).append("`\n");
         page.append("- meaning: ").append(setting.meaning()).append('\n');
         page.append("- default: ");
-        page.append(standard == null ? "none, has to be given" : "`" + standard + "`").append('\n');
+        page.append(defaultValue == null ? "none, required" : "`" + defaultValue + "`")
+            .append('\n');
         page.append("- allowed: ").append(setting.allowed()).append('\n');
         page.append("- reason: ").append(setting.reason()).append('\n');
       }
