--- a/daemon/src/test/java/io/sequoiapass/daemon/process/settings/EntrySettingsTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/settings/EntrySettingsTest.java
@@ -74,9 +74,9 @@
                   Addresses.parse("--peers", "[::1]:10")));
     }
 
-    // A limit below the grace period of 2.5 s, in which the daemon still accepts requests after
-    // readiness is off, must be rejected with a message; it made the daemon fail to start with a
-    // stack trace.
+    // A limit such as 100 ms is below the grace period of 2.5 s, in which the daemon still accepts
+    // requests until the load balancer has seen that readiness is off. It must be rejected with a
+    // message; otherwise the daemon fails to start with a stack trace.
     @Test
     void drainLimitBelowTheGraceIsRejected() {
       assertThatThrownBy(() -> parse("--drain-limit-ms", "2499"))
