--- a/coordination/src/main/java/io/sequoiapass/coordination/connection/EndpointHealth.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/connection/EndpointHealth.java
@@ -90,7 +90,7 @@
   }
 
   /** Returns the endpoints that may not receive requests. */
-  public Set<EndpointId> leftOut(long nowMillis) {
+  public Set<EndpointId> excluded(long nowMillis) {
     Set<EndpointId> excluded = new HashSet<>();
     for (EndpointId endpoint : endpoints.keySet()) {
       if (!admits(endpoint, nowMillis)) {
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/DeputyRule.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/BackupOwnerSelector.java
@@ -12,21 +12,22 @@
  * out, so that no new owner can be recorded.
  *
  * <pre>{@code
- * DeputyRule selector = DeputyRule.create(self);
- * Optional<DaemonId> server = selector.server(endpoint, table, membership, contact.isOut(now));
+ * BackupOwnerSelector selector = BackupOwnerSelector.create(self);
+ * Optional<DaemonId> server =
+ *     selector.servingDaemon(endpoint, table, membership, contact.isOut(now));
  * }</pre>
  *
  * <p>Daemons with different views of the membership may select different backup owners, and a
  * backup owner may serve in place of an owner that is only partitioned. Both are safe: backup
  * owners send no orders, and an owner that does not receive heartbeats from every peer reads the
- * engine's state before it evicts ({@link Membership#isEveryoneHeard}). Instances are immutable and
- * safe for use by several threads; the membership passed to them is not.
+ * engine's state before it evicts ({@link Membership#isEveryPeerReachable}). Instances are
+ * immutable and safe for use by several threads; the membership passed to them is not.
  */
-public final class DeputyRule {
+public final class BackupOwnerSelector {
 
   private final DaemonId self;
 
-  private DeputyRule(DaemonId self) {
+  private BackupOwnerSelector(DaemonId self) {
     this.self = Objects.requireNonNull(self, "self");
   }
 
@@ -35,8 +36,8 @@
    *
    * @param self the daemon
    */
-  public static DeputyRule create(DaemonId self) {
-    return new DeputyRule(self);
+  public static BackupOwnerSelector create(DaemonId self) {
+    return new BackupOwnerSelector(self);
   }
 
   /**
@@ -47,7 +48,7 @@
    * @param membership the daemon's view of its peers
    * @param platformOut whether the platform is out for the daemon
    */
-  public Optional<DaemonId> server(
+  public Optional<DaemonId> servingDaemon(
       EndpointId endpoint, OwnershipTable table, Membership membership, boolean platformOut) {
     Optional<DaemonId> owner = table.owner(endpoint);
     boolean ownerless = owner.isEmpty() || isDead(owner.get(), membership);
@@ -65,7 +66,7 @@
     if (table.owner(endpoint).filter(self::equals).isPresent()) {
       return ServingRole.OWNER;
     }
-    Optional<DaemonId> server = server(endpoint, table, membership, platformOut);
+    Optional<DaemonId> server = servingDaemon(endpoint, table, membership, platformOut);
     return server.filter(self::equals).isPresent() ? ServingRole.BACKUP_OWNER : ServingRole.NONE;
   }
 
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/FencePolicy.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/FencePolicy.java
@@ -7,7 +7,7 @@
    */
   CHECKS {
     @Override
-    public OrderAuthority authority(LeaseStanding status) {
+    public OrderAuthority authority(LeaseStatus status) {
       return switch (status) {
         case VALID, STARTING, LAPSED, LAPSED_FOR_ALL -> OrderAuthority.FULL;
         case NOT_HELD, SUPERSEDED -> OrderAuthority.NONE;
@@ -17,7 +17,7 @@
   /** Runs them. Only the lease prevents a former owner from sending harmful orders. */
   IGNORES {
     @Override
-    public OrderAuthority authority(LeaseStanding status) {
+    public OrderAuthority authority(LeaseStatus status) {
       return switch (status) {
         case VALID, LAPSED_FOR_ALL -> OrderAuthority.FULL;
         case LAPSED, STARTING -> OrderAuthority.NON_DESTRUCTIVE;
@@ -31,5 +31,5 @@
    *
    * @param status the status of the owner's lease
    */
-  public abstract OrderAuthority authority(LeaseStanding status);
+  public abstract OrderAuthority authority(LeaseStatus status);
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseAction.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseAction.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * Call to the platform requested by {@link LeaseKeeper}.
+ * Call to the platform requested by {@link LeaseManager}.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseKeeper.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseManager.java
@@ -27,14 +27,14 @@
  * causes a conflict for a takeover that was decided while the lease was expired and whose write is
  * still in flight. Not thread-safe; confined to one shard.
  */
-public final class LeaseKeeper {
+public final class LeaseManager {
 
   private static final long BACKOFF_BASE_MILLIS = 250;
 
   private final LeaseSettings settings;
   private final DaemonId self;
   private final String address;
-  private final PlatformContact contact;
+  private final PlatformConnectivity contact;
   private final PlatformOutageDetector outageDetector;
   private final Backoff backoff;
   private final RandomGenerator random;
@@ -74,13 +74,13 @@
   private long lastObservedAt;
   private long pauseDetectedAt = Long.MIN_VALUE;
 
-  private LeaseKeeper(
+  private LeaseManager(
       LeaseSettings settings,
       DaemonId self,
       String address,
       long incarnation,
       RandomGenerator random,
-      PlatformContact contact,
+      PlatformConnectivity contact,
       long now) {
     this.settings = Objects.requireNonNull(settings, "settings");
     this.self = Objects.requireNonNull(self, "self");
@@ -107,15 +107,15 @@
    * @param contact tracks whether the daemon reaches the platform
    * @param now the time
    */
-  public static LeaseKeeper create(
+  public static LeaseManager create(
       LeaseSettings settings,
       DaemonId self,
       String address,
       long incarnation,
       RandomGenerator random,
-      PlatformContact contact,
+      PlatformConnectivity contact,
       long now) {
-    return new LeaseKeeper(settings, self, address, incarnation, random, contact, now);
+    return new LeaseManager(settings, self, address, incarnation, random, contact, now);
   }
 
   /**
@@ -204,7 +204,7 @@
   }
 
   /** Handles the version of an ownership table received from the platform or from a peer. */
-  public void tableSeen(long receivedVersion) {
+  public void tableVersionReceived(long receivedVersion) {
     tableVersion = Math.max(tableVersion, receivedVersion);
     if (unconfirmed && tableVersion > confirmAboveVersion) {
       unconfirmed = false;
@@ -216,7 +216,7 @@
    *
    * @param daemons the daemons; may include this one
    */
-  public void dataCentreIs(Set<DaemonId> daemons) {
+  public void setMembers(Set<DaemonId> daemons) {
     outageDetector.setMembers(daemons);
   }
 
@@ -241,35 +241,35 @@
 
   /**
    * Releases the lease permanently. The daemon may then delete the object at {@link #version}, once
-   * no renewal {@link #isRenewalOpen is in flight} that would change the version.
+   * no renewal {@link #isRenewalInFlight is in flight} that would change the version.
    */
   public void release() {
     released = true;
   }
 
   /** Returns whether a renewal is in flight. */
-  public boolean isRenewalOpen() {
+  public boolean isRenewalInFlight() {
     return pending != null && callInFlight;
   }
 
   /** Returns the status of the lease. */
-  public LeaseStanding standing(long now) {
+  public LeaseStatus status(long now) {
     observeTime(now);
     if (superseded) {
-      return LeaseStanding.SUPERSEDED;
+      return LeaseStatus.SUPERSEDED;
     }
     if (!acquired || released) {
-      return LeaseStanding.NOT_HELD;
+      return LeaseStatus.NOT_HELD;
     }
     if (now < predecessorActiveUntil) {
-      return LeaseStanding.STARTING;
+      return LeaseStatus.STARTING;
     }
     if (remainingMillis(now) > 0 && !unconfirmed && pauseDetectedAt == Long.MIN_VALUE) {
-      return LeaseStanding.VALID;
+      return LeaseStatus.VALID;
     }
     return contact.isOut(now) && outageDetector.isOutForDataCentre(now, tableVersion)
-        ? LeaseStanding.LAPSED_FOR_ALL
-        : LeaseStanding.LAPSED;
+        ? LeaseStatus.LAPSED_FOR_ALL
+        : LeaseStatus.LAPSED;
   }
 
   /**
@@ -280,7 +280,7 @@
    * @param policy whether the endpoint refuses old fencing numbers
    */
   public OrderAuthority authority(long now, FencePolicy policy) {
-    return policy.authority(standing(now));
+    return policy.authority(status(now));
   }
 
   /**
@@ -304,7 +304,7 @@
    * @param now the time
    */
   public boolean mayHandOver(long now) {
-    return switch (standing(now)) {
+    return switch (status(now)) {
       case VALID, LAPSED, LAPSED_FOR_ALL -> true;
       case NOT_HELD, STARTING, SUPERSEDED -> false;
     };
@@ -331,7 +331,7 @@
    * Returns whether the lease needs a newer ownership table to become valid. The daemon then has to
    * write one unless another daemon does.
    */
-  public boolean needsTable(long now) {
+  public boolean needsNewerTable(long now) {
     observeTime(now);
     return unconfirmed && confirmAboveVersion != Long.MAX_VALUE && !superseded && !released;
   }
@@ -373,7 +373,7 @@
     }
     if (unconfirmed && confirmAboveVersion == Long.MAX_VALUE) {
       confirmAboveVersion = appliedVersion;
-      tableSeen(tableVersion);
+      tableVersionReceived(tableVersion);
     }
   }
 
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseObserver.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseObserver.java
@@ -13,10 +13,10 @@
  * version was first observed.
  *
  * <pre>{@code
- * observer.heartbeatCarried(now, peer, report.leaseVersion());
- * for (DaemonId daemon : observer.toCheck(now, owners)) { ... read its lease object ... }
+ * observer.leaseVersionReceived(now, peer, report.leaseVersion());
+ * for (DaemonId daemon : observer.leasesToCheck(now, owners)) { ... read its lease object ... }
  * observer.leaseRead(sentAt, now, daemon, version);
- * boolean expired = observer.hasLapsed(now, daemon, tableReceivedAt);
+ * boolean expired = observer.hasExpired(now, daemon, tableReceivedAt);
  * }</pre>
  *
  * <p>Heartbeats carry the version of the sender's lease, so that no lease is read from the platform
@@ -28,10 +28,10 @@
 
   private final long durationMillis;
   private final long checkIntervalMillis;
-  private final PlatformContact contact;
+  private final PlatformConnectivity contact;
   private final Map<DaemonId, Observation> observations = new TreeMap<>();
 
-  private LeaseObserver(LeaseSettings settings, PlatformContact contact) {
+  private LeaseObserver(LeaseSettings settings, PlatformConnectivity contact) {
     this.durationMillis = settings.durationMillis();
     this.checkIntervalMillis = settings.marginMillis();
     this.contact = Objects.requireNonNull(contact, "contact");
@@ -43,7 +43,7 @@
    * @param settings the timing settings; the same for every daemon of the fleet
    * @param contact tracks whether the daemon reaches the platform
    */
-  public static LeaseObserver create(LeaseSettings settings, PlatformContact contact) {
+  public static LeaseObserver create(LeaseSettings settings, PlatformConnectivity contact) {
     return new LeaseObserver(settings, contact);
   }
 
@@ -54,7 +54,7 @@
    * @param daemon the daemon
    * @param version the version; 0 if the daemon holds no lease
    */
-  public void heartbeatCarried(long now, DaemonId daemon, long version) {
+  public void leaseVersionReceived(long now, DaemonId daemon, long version) {
     Observation observation = observations.get(daemon);
     if (version > 0 && (observation == null || version > observation.version)) {
       observations.put(daemon, new Observation(version, now));
@@ -90,7 +90,7 @@
    *
    * @param daemon the daemon
    */
-  public void fellSilent(DaemonId daemon) {
+  public void heartbeatMissed(DaemonId daemon) {
     Observation observation = observations.get(daemon);
     if (observation != null) {
       observation.readRequested = true;
@@ -105,7 +105,7 @@
    * @param graceMillis the time after expiry during which other daemons are expected to read the
    *     lease
    */
-  public Set<DaemonId> toCheck(long now, Collection<DaemonId> daemons, long graceMillis) {
+  public Set<DaemonId> leasesToCheck(long now, Collection<DaemonId> daemons, long graceMillis) {
     Set<DaemonId> due = new TreeSet<>();
     for (DaemonId daemon : daemons) {
       Observation observation = observations.get(daemon);
@@ -150,7 +150,7 @@
    * @param tableReceivedAt the time when the current version of the ownership table was first
    *     received
    */
-  public boolean hasLapsed(long now, DaemonId daemon, long tableReceivedAt) {
+  public boolean hasExpired(long now, DaemonId daemon, long tableReceivedAt) {
     Observation observation = observations.get(daemon);
     if (observation == null || contact.isOut(now) || observation.readSentAt < tableReceivedAt) {
       return false;
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseStanding.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/LeaseStatus.java
@@ -1,7 +1,7 @@
 package io.sequoiapass.coordination.process;
 
 /** Status of a daemon's own lease. */
-public enum LeaseStanding {
+public enum LeaseStatus {
   /** Not acquired yet, or released. */
   NOT_HELD,
   /** First lease of a process whose predecessor with the same daemon name may still send orders. */
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/Membership.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/Membership.java
@@ -92,7 +92,7 @@
    * @param now the time
    * @param daemon the daemon
    */
-  public void learned(long now, DaemonId daemon) {
+  public void addPeer(long now, DaemonId daemon) {
     peers.computeIfAbsent(
         daemon,
         id -> {
@@ -109,8 +109,8 @@
    * @param daemon the daemon
    * @param hint the state in the list
    */
-  public void learned(long now, DaemonId daemon, HostHint hint) {
-    learned(now, daemon);
+  public void addPeer(long now, DaemonId daemon, HostHint hint) {
+    addPeer(now, daemon);
     updateHint(daemon, hint);
   }
 
@@ -213,7 +213,7 @@
    * Returns whether every peer is reachable. An unreachable peer may be serving this daemon's
    * endpoints as their backup owner, so an eviction first reads the engine's state.
    */
-  public boolean isEveryoneHeard() {
+  public boolean isEveryPeerReachable() {
     return peers.values().stream().allMatch(peer -> peer.state.isReachable());
   }
 
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipPlanner.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipPlanner.java
@@ -24,11 +24,11 @@
  * known.
  *
  * <pre>{@code
- * planner.tableSeen(now, table);
- * planner.candidatesAre(now, leaseManager.incarnation(), candidates);
- * planner.endpointsAre(endpoints);
+ * planner.tableReceived(now, table);
+ * planner.setCandidates(now, leaseManager.incarnation(), candidates);
+ * planner.setEndpoints(endpoints);
  * planner.takeOver(now).ifPresent(platform::write);
- * planner.answered(now, operation, answer);
+ * planner.writeAnswered(now, operation, answer);
  * }</pre>
  *
  * <p>Only a live owner itself gives up its endpoints ({@link #handOver}, {@link #rebalance}), and
@@ -112,7 +112,7 @@
    * @param received the table
    * @return whether it is newer than the current one
    */
-  public boolean tableSeen(long now, OwnershipTable received) {
+  public boolean tableReceived(long now, OwnershipTable received) {
     boolean newer = received.version() > table.version();
     if (newer || !tableRead) {
       tableReceivedAt = now;
@@ -138,7 +138,7 @@
    * @param incarnation the incarnation of this daemon, whether it is a candidate or not
    * @param newCandidates the candidates
    */
-  public void candidatesAre(long now, long incarnation, Map<DaemonId, Candidate> newCandidates) {
+  public void setCandidates(long now, long incarnation, Map<DaemonId, Candidate> newCandidates) {
     ownIncarnation = incarnation;
     candidates = new TreeMap<>(newCandidates);
     candidateSince.keySet().retainAll(candidates.keySet());
@@ -146,7 +146,7 @@
   }
 
   /** Sets the endpoints of the data centre, from the configuration. */
-  public void endpointsAre(Collection<EndpointId> configured) {
+  public void setEndpoints(Collection<EndpointId> configured) {
     endpoints = new TreeSet<>(configured);
     compareEndpoints();
   }
@@ -161,7 +161,7 @@
     Set<DaemonId> owners = table.daemons();
     owners.remove(self);
     long grace = rank() < settings.proposers() ? 0 : rank() * settings.rankDelayMillis();
-    return observer.toCheck(now, owners, grace);
+    return observer.leasesToCheck(now, owners, grace);
   }
 
   /**
@@ -234,9 +234,9 @@
 
   /**
    * Returns a write that changes no owner and only raises the version, which an expired lease needs
-   * to become valid again (see {@link LeaseKeeper#needsTable}). The write is delayed by a random
-   * time: after an outage every daemon needs a newer version, and the first write serves all of
-   * them.
+   * to become valid again (see {@link LeaseManager#needsNewerTable}). The write is delayed by a
+   * random time: after an outage every daemon needs a newer version, and the first write serves all
+   * of them.
    */
   public Optional<OwnershipProposal> confirm(long now) {
     if (!tableRead || isReplaced() || table.countOf(self) == 0 || isBusy(now)) {
@@ -272,7 +272,8 @@
    * @param answer the answer, or that it was lost
    * @return the outcome of the write; empty for an answer to an earlier write
    */
-  public Optional<WriteDecision> answered(long now, OperationId operation, WriteAnswer answer) {
+  public Optional<WriteDecision> writeAnswered(
+      long now, OperationId operation, WriteAnswer answer) {
     if (pending == null || !pending.operation().equals(operation)) {
       return Optional.empty();
     }
@@ -280,7 +281,7 @@
     switch (decision.outcome()) {
       case APPLIED -> {
         handingOverUntil = 0;
-        tableSeen(now, proposal.table().withVersion(decision.version()));
+        tableReceived(now, proposal.table().withVersion(decision.version()));
         clearPending();
         backoff.reset();
       }
@@ -354,7 +355,7 @@
   }
 
   private boolean leaseHasExpired(long now, DaemonId owner) {
-    return !owner.equals(self) && observer.hasLapsed(now, owner, tableReceivedAt);
+    return !owner.equals(self) && observer.hasExpired(now, owner, tableReceivedAt);
   }
 
   private Map<EndpointId, DaemonId> assignOrphans(Set<EndpointId> orphans) {
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipReplica.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/OwnershipReplica.java
@@ -18,8 +18,8 @@
  *
  * <pre>{@code
  * replica.deltaReceived(delta);
- * replica.versionSeen(peer, heartbeatVersion);
- * replica.ask(now, connected).ifPresent(peer -> send(peer, replica.table().version()));
+ * replica.peerVersionReceived(peer, heartbeatVersion);
+ * replica.selectPeer(now, connected).ifPresent(peer -> send(peer, replica.table().version()));
  * replica.deltaSince(version).ifPresent(found -> send(peer, found));
  * }</pre>
  *
@@ -120,7 +120,7 @@
    * @param peer the peer
    * @param version the version
    */
-  public void versionSeen(DaemonId peer, long version) {
+  public void peerVersionReceived(DaemonId peer, long version) {
     if (version > table.version()) {
       holders.merge(peer, version, Math::max);
     }
@@ -137,7 +137,7 @@
    * @param now the time
    * @param peers the connected daemons, which were sent the same deltas as this one
    */
-  public Optional<DaemonId> ask(long now, Collection<DaemonId> peers) {
+  public Optional<DaemonId> selectPeer(long now, Collection<DaemonId> peers) {
     Set<DaemonId> sources = new HashSet<>(holders.keySet());
     if (pushedVersion > table.version()) {
       sources.addAll(peers);
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/PlatformContact.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/PlatformConnectivity.java
@@ -4,7 +4,7 @@
  * Tracks whether this daemon reaches the platform, and since when without interruption.
  *
  * <pre>{@code
- * PlatformContact contact = PlatformContact.create(LeaseSettings.DEFAULT, now);
+ * PlatformConnectivity contact = PlatformConnectivity.create(LeaseSettings.DEFAULT, now);
  * contact.succeeded(now);
  * boolean out = contact.isOut(now + 9_000);
  * }</pre>
@@ -12,14 +12,14 @@
  * <p>Every call to the platform reports its result here, so lease renewals are sufficient to keep
  * the state current. Not thread-safe; confined to one shard.
  */
-public final class PlatformContact {
+public final class PlatformConnectivity {
 
   private final long outAfterMillis;
   private long reachableSince;
   private long lastSuccess;
   private boolean answeredOnce;
 
-  private PlatformContact(long outAfterMillis, long now) {
+  private PlatformConnectivity(long outAfterMillis, long now) {
     this.outAfterMillis = outAfterMillis;
     this.lastSuccess = now;
   }
@@ -30,8 +30,8 @@
    * @param settings the times
    * @param now the time
    */
-  public static PlatformContact create(LeaseSettings settings, long now) {
-    return new PlatformContact(settings.outAfterMillis(), now);
+  public static PlatformConnectivity create(LeaseSettings settings, long now) {
+    return new PlatformConnectivity(settings.outAfterMillis(), now);
   }
 
   /** Records that a call was answered, including by a conflict. */
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/PlatformOutageDetector.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/PlatformOutageDetector.java
@@ -10,7 +10,7 @@
 /**
  * Decides from peers' reports whether the platform is out for the entire data centre.
  *
- * <p>Not thread-safe; used by {@link LeaseKeeper} only.
+ * <p>Not thread-safe; used by {@link LeaseManager} only.
  */
 final class PlatformOutageDetector {
 
--- a/coordination/src/main/java/io/sequoiapass/coordination/process/ServingRole.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/process/ServingRole.java
@@ -25,7 +25,7 @@
     return serves;
   }
 
-  /** Returns whether it may send orders; {@link LeaseKeeper#mayOrder} decides about each order. */
+  /** Returns whether it may send orders; {@link LeaseManager#mayOrder} decides about each order. */
   public boolean mayGiveOrders() {
     return orders;
   }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AdmissionQueue.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AdmissionQueue.java
@@ -17,7 +17,7 @@
  * <pre>{@code
  * AdmissionQueue queue = new AdmissionQueue(AdmissionSettings.DEFAULT, now);
  * refuse(queue.offer(ticket, now));
- * AdmissionQueue.Turn turn = queue.poll(now);
+ * AdmissionQueue.PollResult result = queue.poll(now);
  * }</pre>
  *
  * <p>Higher priorities are served first, except for a small share reserved for lower ones. Within a
@@ -42,7 +42,7 @@
    * @param next the request to serve, or empty
    * @param refused requests that can no longer meet their deadline
    */
-  public record Turn(Optional<AdmissionTicket> next, List<Refusal> refused) {}
+  public record PollResult(Optional<AdmissionTicket> next, List<Refusal> refused) {}
 
   /**
    * An overload fills the queue up to the longest admitted wait. Admitting a wait equal to all of
@@ -116,7 +116,7 @@
   }
 
   /** Removes and returns the next request to serve, for an endpoint with free capacity. */
-  public Turn poll(long nowMillis) {
+  public PollResult poll(long nowMillis) {
     List<Refusal> refused = new ArrayList<>();
     Optional<AdmissionTicket> head = head();
     while (head.isPresent() && isTooLate(head.get(), nowMillis)) {
@@ -125,7 +125,7 @@
       head = head();
     }
     head.ifPresent(ticket -> serve(ticket, nowMillis));
-    return new Turn(head, refused);
+    return new PollResult(head, refused);
   }
 
   /**
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AdmissionSettings.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AdmissionSettings.java
@@ -55,7 +55,7 @@
    * @param queued maximum number of waiting requests
    * @param queuedPerService maximum number of waiting requests per service and priority
    */
-  public AdmissionSettings holding(int queued, int queuedPerService) {
+  public AdmissionSettings withBounds(int queued, int queuedPerService) {
     return new AdmissionSettings(
         queued,
         queuedPerService,
@@ -70,8 +70,8 @@
    *
    * @param bound maps a bound of the ordinary preset to the bound to use
    */
-  public AdmissionSettings bounded(IntUnaryOperator bound) {
+  public AdmissionSettings mapBounds(IntUnaryOperator bound) {
     int queued = bound.applyAsInt(maxQueued);
-    return holding(queued, Math.min(queued, bound.applyAsInt(maxQueuedPerService)));
+    return withBounds(queued, Math.min(queued, bound.applyAsInt(maxQueuedPerService)));
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AttemptEvent.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AttemptEvent.java
@@ -31,7 +31,7 @@
    *
    * @param attempt the attempt
    */
-  record StartAsked(int attempt) implements AttemptEvent {}
+  record StartRequested(int attempt) implements AttemptEvent {}
 
   /**
    * The primary replica of the request's key has recorded its start.
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/AttemptSettings.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/AttemptSettings.java
@@ -18,8 +18,9 @@
  *     times, and more moves indicate a fault
  * @param movePauseMillis delay before the next attempt after such a move, in milliseconds, while
  *     the new owner's table is being propagated
- * @param ownerPauseMillis interval between attempts to find an owner after the last one was lost,
- *     in milliseconds; a takeover takes seconds, and a caller does not notice a tenth of a second
+ * @param ownerRetryIntervalMillis interval between attempts to find an owner after the last one was
+ *     lost, in milliseconds; a takeover takes seconds, and a caller does not notice a tenth of a
+ *     second
  */
 public record AttemptSettings(
     int maxAttempts,
@@ -28,7 +29,7 @@
     long stallMillis,
     int maxMoves,
     long movePauseMillis,
-    long ownerPauseMillis) {
+    long ownerRetryIntervalMillis) {
 
   /** Defaults for engine steps of about 5 ms and link latencies of a few milliseconds. */
   public static final AttemptSettings DEFAULT =
@@ -41,10 +42,10 @@
           "maxAttempts %d, maxBufferedTokens %d, gap %d ms or stall %d ms out of range"
               .formatted(maxAttempts, maxBufferedTokens, gapMillis, stallMillis));
     }
-    if (maxMoves < 0 || movePauseMillis <= 0 || ownerPauseMillis <= 0) {
+    if (maxMoves < 0 || movePauseMillis <= 0 || ownerRetryIntervalMillis <= 0) {
       throw new IllegalArgumentException(
           "maxMoves %d, move pause %d ms or owner retry interval %d ms out of range"
-              .formatted(maxMoves, movePauseMillis, ownerPauseMillis));
+              .formatted(maxMoves, movePauseMillis, ownerRetryIntervalMillis));
     }
   }
 }
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/Ledger.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/Ledger.java
@@ -3,13 +3,13 @@
 import io.sequoiapass.coordination.DaemonId;
 import io.sequoiapass.coordination.IdempotencyKey;
 import io.sequoiapass.coordination.request.LedgerMessage.Answer;
-import io.sequoiapass.coordination.request.LedgerMessage.AskHolder;
-import io.sequoiapass.coordination.request.LedgerMessage.AskRecords;
 import io.sequoiapass.coordination.request.LedgerMessage.Copied;
 import io.sequoiapass.coordination.request.LedgerMessage.Copy;
 import io.sequoiapass.coordination.request.LedgerMessage.Finish;
 import io.sequoiapass.coordination.request.LedgerMessage.MarkStart;
+import io.sequoiapass.coordination.request.LedgerMessage.QueryHolder;
 import io.sequoiapass.coordination.request.LedgerMessage.Records;
+import io.sequoiapass.coordination.request.LedgerMessage.RequestRecords;
 import io.sequoiapass.coordination.request.LedgerMessage.Reserve;
 import io.sequoiapass.coordination.request.LedgerMessage.Step;
 import io.sequoiapass.coordination.request.LedgerMessage.StillOpen;
@@ -50,7 +50,7 @@
   private final Map<LedgerMember, Long> lostEntryDaemons = new TreeMap<>();
   private List<LedgerSend> sends = new ArrayList<>();
   private LedgerView view = new LedgerView(-1, Set.of());
-  private LedgerHomes replicas;
+  private LedgerReplicas replicas;
   private long authorityUntil = Long.MIN_VALUE;
   private long lastSequence;
   private long resendAt;
@@ -68,7 +68,7 @@
     this.settings = Objects.requireNonNull(settings, "settings");
     this.ranking = Objects.requireNonNull(ranking, "ranking");
     this.syncState = new LedgerSyncState(self, settings, ranking, nowMillis);
-    this.replicas = new LedgerHomes(ranking, Set.of());
+    this.replicas = new LedgerReplicas(ranking, Set.of());
   }
 
   /**
@@ -85,7 +85,7 @@
    * retention period. Only the daemon that creates the membership on the platform can establish
    * this.
    */
-  public void nothingBefore() {
+  public void assumeNoEarlierRecords() {
     syncState.assumeNoEarlierRecords();
   }
 
@@ -109,7 +109,7 @@
    * Records the failure of an entry daemon's incarnation that was not a member, such as one of
    * another data centre.
    */
-  public List<LedgerSend> entryLost(LedgerMember entry, long nowMillis) {
+  public List<LedgerSend> entryDaemonLost(LedgerMember entry, long nowMillis) {
     lostEntryDaemons.put(entry, nowMillis + settings.retentionMillis());
     resolveLost(nowMillis);
     return drainSends();
@@ -129,7 +129,7 @@
       storeCopy(from, copy.record(), nowMillis);
     } else if (message instanceof Copied copied) {
       copied(copied, nowMillis);
-    } else if (message instanceof AskRecords request) {
+    } else if (message instanceof RequestRecords request) {
       sendRecords(from, request, nowMillis);
     } else if (message instanceof Records records) {
       receiveRecords(records, nowMillis);
@@ -204,7 +204,7 @@
 
   private Optional<ErrorKind> refusal(LedgerEntry entry, Reserve reserve, long nowMillis) {
     if (!decides(reserve.key(), nowMillis)
-        || replicas.second(reserve.key()).isEmpty()
+        || replicas.secondary(reserve.key()).isEmpty()
         || (entry == null && entries.size() >= settings.maxRecords())) {
       return Optional.of(ErrorKind.LEDGER_UNAVAILABLE);
     }
@@ -233,15 +233,15 @@
     sends.add(
         new LedgerSend(
             record.holder().entry().daemon(),
-            new AskHolder(record.key(), record.holder(), requester)));
+            new QueryHolder(record.key(), record.holder(), requester)));
   }
 
   private void stillOpen(StillOpen open, long nowMillis) {
     LedgerEntry entry = entries.get(open.key());
     if (entry != null && entry.record().holder().equals(open.holder())) {
       entry
-          .removeRequester(open.asker())
-          .ifPresent(daemon -> replyToRequester(entry, open.asker(), daemon, nowMillis));
+          .removeRequester(open.requester())
+          .ifPresent(daemon -> replyToRequester(entry, open.requester(), daemon, nowMillis));
     }
   }
 
@@ -266,7 +266,9 @@
             && !entry.isExpired(nowMillis)
             && entry.record().holder().equals(start.holder())
             && entry.record().state().isOpen();
-    if (!isHolder || !decides(start.key(), nowMillis) || replicas.second(start.key()).isEmpty()) {
+    if (!isHolder
+        || !decides(start.key(), nowMillis)
+        || replicas.secondary(start.key()).isEmpty()) {
       // The key may have been reassigned while the holder was partitioned; granting the start from
       // an old record would run the work a second time.
       Optional<ErrorKind> refusal = Optional.of(ErrorKind.LEDGER_UNAVAILABLE);
@@ -301,7 +303,7 @@
    * copy.
    */
   private void copyOrAnswer(LedgerEntry entry, DaemonId from, Step step, long nowMillis) {
-    if (entry.isCopiedTo(replicas.second(entry.record().key()))) {
+    if (entry.isCopiedTo(replicas.secondary(entry.record().key()))) {
       grant(entry, from, step);
     } else {
       entry.addPendingReply(from, step, nowMillis);
@@ -325,7 +327,7 @@
       return;
     }
     entry.markCopiedTo(copied.by());
-    if (entry.isCopiedTo(replicas.second(copied.key())) && decides(copied.key(), nowMillis)) {
+    if (entry.isCopiedTo(replicas.secondary(copied.key())) && decides(copied.key(), nowMillis)) {
       entry.removePendingReplies().forEach((step, daemon) -> grant(entry, daemon, step));
     }
   }
@@ -403,7 +405,7 @@
     IdempotencyKey key = entry.record().key();
     if (isPrimary(key)) {
       replicas
-          .second(key)
+          .secondary(key)
           .ifPresent(
               secondary ->
                   sends.add(
@@ -418,8 +420,8 @@
   private void updateReplicas(long nowMillis) {
     Set<LedgerMember> members = new TreeSet<>(view.members());
     members.addAll(yieldedTo.keySet());
-    LedgerHomes before = replicas;
-    replicas = new LedgerHomes(ranking, members);
+    LedgerReplicas before = replicas;
+    replicas = new LedgerReplicas(ranking, members);
     if (replicas.equals(before)) {
       return;
     }
@@ -431,13 +433,13 @@
         abandonPending(entry, nowMillis);
         replyToRequesters(entry, Long.MAX_VALUE, nowMillis);
         entry.markNotPrimary();
-      } else if (!entry.isCopiedTo(replicas.second(key))) {
+      } else if (!entry.isCopiedTo(replicas.secondary(key))) {
         sendCopy(entry, nowMillis);
       }
     }
   }
 
-  private void sendRecords(DaemonId from, AskRecords request, long nowMillis) {
+  private void sendRecords(DaemonId from, RequestRecords request, long nowMillis) {
     if (!replicas.members().contains(request.by())) {
       if (request.view() <= view.version()) {
         return;
@@ -482,7 +484,7 @@
     resendAt = nowMillis + settings.resendIntervalMillis();
     syncState.updateSynchronized();
     for (LedgerMember member : syncState.pendingMembers()) {
-      sends.add(new LedgerSend(member.daemon(), new AskRecords(self, actingVersion())));
+      sends.add(new LedgerSend(member.daemon(), new RequestRecords(self, actingVersion())));
     }
   }
 
@@ -496,7 +498,7 @@
   }
 
   private boolean isPrimary(IdempotencyKey key) {
-    return replicas.home(key).filter(self::equals).isPresent();
+    return replicas.primary(key).filter(self::equals).isPresent();
   }
 
   private void answer(
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerMessage.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerMessage.java
@@ -67,20 +67,21 @@
    *
    * @param key the key
    * @param holder the reservation that holds the key
-   * @param asker the reservation that requests the key
+   * @param requester the reservation that requests the key
    */
-  record AskHolder(IdempotencyKey key, Holder holder, Holder asker) implements LedgerMessage {}
+  record QueryHolder(IdempotencyKey key, Holder holder, Holder requester)
+      implements LedgerMessage {}
 
   /**
-   * Entry daemon to primary replica, in reply to {@link AskHolder}: the holder has not ended. A
+   * Entry daemon to primary replica, in reply to {@link QueryHolder}: the holder has not ended. A
    * holder that has ended is reported with {@link Finish}.
    *
    * @param key the key
    * @param holder the reservation that holds the key
-   * @param asker the reservation named in the query; a reply for an earlier reservation may be out
-   *     of date
+   * @param requester the reservation named in the query; a reply for an earlier reservation may be
+   *     out of date
    */
-  record StillOpen(IdempotencyKey key, Holder holder, Holder asker) implements LedgerMessage {}
+  record StillOpen(IdempotencyKey key, Holder holder, Holder requester) implements LedgerMessage {}
 
   /**
    * Primary to secondary replica: store this copy.
@@ -105,20 +106,24 @@
    * @param by the requesting incarnation
    * @param view the version of the membership that it acts on
    */
-  record AskRecords(LedgerMember by, long view) implements LedgerMessage {}
+  record RequestRecords(LedgerMember by, long view) implements LedgerMessage {}
 
   /**
-   * Reply to {@link AskRecords}.
+   * Reply to {@link RequestRecords}.
    *
    * @param by the replying incarnation
    * @param view the membership version of the request
    * @param records the records that the requester is a replica of
    * @param lost the replica losses that may have removed records
-   * @param seasoned whether the replying incarnation can have missed no record from before the
-   *     requester's start
+   * @param retentionElapsed whether the replying incarnation can have missed no record from before
+   *     the requester's start
    */
   record Records(
-      LedgerMember by, long view, List<LedgerRecord> records, List<Loss> lost, boolean seasoned)
+      LedgerMember by,
+      long view,
+      List<LedgerRecord> records,
+      List<Loss> lost,
+      boolean retentionElapsed)
       implements LedgerMessage {}
 
   /**
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerHomes.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerReplicas.java
@@ -16,14 +16,14 @@
  * Assigns each idempotency key its primary and secondary replica among the members.
  *
  * <pre>{@code
- * LedgerHomes replicas = new LedgerHomes(Ranking.rendezvous(), members);
- * replicas.home(key).ifPresent(primary -> send(primary, reserve));
+ * LedgerReplicas replicas = new LedgerReplicas(Ranking.rendezvous(), members);
+ * replicas.primary(key).ifPresent(primary -> send(primary, reserve));
  * }</pre>
  *
  * <p>The secondary is the daemon that becomes primary when the primary leaves, so a takeover moves
  * no record. Instances are immutable and safe for use by several threads.
  */
-public final class LedgerHomes {
+public final class LedgerReplicas {
 
   private final Ranking ranking;
   private final Map<DaemonId, LedgerMember> members = new TreeMap<>();
@@ -33,7 +33,7 @@
    * Creates the assignment among these members; of several incarnations of a daemon the latest
    * counts.
    */
-  public LedgerHomes(Ranking ranking, Collection<LedgerMember> members) {
+  public LedgerReplicas(Ranking ranking, Collection<LedgerMember> members) {
     this.ranking = Objects.requireNonNull(ranking, "ranking");
     for (LedgerMember member : members) {
       this.members.merge(
@@ -43,12 +43,12 @@
   }
 
   /** Returns the primary replica, which decides about the key; empty without members. */
-  public Optional<LedgerMember> home(IdempotencyKey key) {
+  public Optional<LedgerMember> primary(IdempotencyKey key) {
     return at(key, 0);
   }
 
   /** Returns the secondary replica, which keeps the copy; empty with fewer than two members. */
-  public Optional<LedgerMember> second(IdempotencyKey key) {
+  public Optional<LedgerMember> secondary(IdempotencyKey key) {
     return at(key, 1);
   }
 
@@ -67,7 +67,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof LedgerHomes assignment && members.equals(assignment.members);
+    return other instanceof LedgerReplicas assignment && members.equals(assignment.members);
   }
 
   @Override
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerSyncState.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerSyncState.java
@@ -25,7 +25,7 @@
    * An excluded key range after a replica loss. Its replica assignment is computed once, since
    * every member reports the same loss.
    */
-  private record ExcludedRange(LedgerHomes before, Set<LedgerMember> left, long until) {
+  private record ExcludedRange(LedgerReplicas before, Set<LedgerMember> left, long until) {
 
     ExcludedRange extendedTo(long later) {
       return later > until ? new ExcludedRange(before, left, later) : this;
@@ -36,9 +36,9 @@
   private final LedgerSettings settings;
   private final Ranking ranking;
   private final long startedAt;
-  private final List<LedgerHomes> sinceSynchronized = new ArrayList<>();
+  private final List<LedgerReplicas> sinceSynchronized = new ArrayList<>();
   private final Set<LedgerMember> pendingMembers = new TreeSet<>();
-  private final Map<LedgerHomes, Long> recentReplicas = new LinkedHashMap<>();
+  private final Map<LedgerReplicas, Long> recentReplicas = new LinkedHashMap<>();
   private final Map<LossKey, ExcludedRange> losses = new LinkedHashMap<>();
   private boolean synchronizedOnce;
   private boolean retentionElapsed;
@@ -65,14 +65,14 @@
   }
 
   /** Applies a membership; the records of all other members must be requested again. */
-  void membersChanged(LedgerHomes before, LedgerHomes after, long nowMillis) {
+  void membersChanged(LedgerReplicas before, LedgerReplicas after, long nowMillis) {
     removeExpired(nowMillis);
     recentReplicas.put(before, nowMillis);
     Set<LedgerMember> present = after.members();
     // A new secondary may not have its copies yet when the primary leaves as well. Every membership
     // that ended within the settling time, or since this incarnation last synchronized with all
     // members, is therefore compared with the present one.
-    for (LedgerHomes replicas : recentReplicas.keySet()) {
+    for (LedgerReplicas replicas : recentReplicas.keySet()) {
       Set<LedgerMember> left = new TreeSet<>(replicas.members());
       left.removeAll(present);
       // A member that left before it replied may have shared keys with this incarnation whose
@@ -102,7 +102,7 @@
   void receiveRecords(LedgerMessage.Records message, long nowMillis) {
     message.lost().forEach(loss -> exclude(loss, nowMillis));
     pendingMembers.remove(message.by());
-    retentionElapsed |= message.seasoned();
+    retentionElapsed |= message.retentionElapsed();
     updateSynchronized();
   }
 
@@ -110,7 +110,7 @@
   void updateSynchronized() {
     if (pendingMembers.isEmpty() && !sinceSynchronized.isEmpty()) {
       synchronizedOnce = true;
-      LedgerHomes current = sinceSynchronized.get(sinceSynchronized.size() - 1);
+      LedgerReplicas current = sinceSynchronized.get(sinceSynchronized.size() - 1);
       sinceSynchronized.clear();
       sinceSynchronized.add(current);
     }
@@ -132,7 +132,7 @@
   }
 
   private ExcludedRange excludedRange(LossKey lost, long until) {
-    return new ExcludedRange(new LedgerHomes(ranking, lost.before()), lost.left(), until);
+    return new ExcludedRange(new LedgerReplicas(ranking, lost.before()), lost.left(), until);
   }
 
   private void removeExpired(long nowMillis) {
--- a/coordination/src/main/java/io/sequoiapass/coordination/request/RequestAttempts.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/RequestAttempts.java
@@ -18,7 +18,7 @@
  * <pre>{@code
  * RequestAttempts attempts = new RequestAttempts(spec, settings, budget, Optional.empty());
  * perform(attempts.begin(clock.millis()));
- * perform(attempts.on(new AttemptEvent.OwnerLost(1), clock.millis()));
+ * perform(attempts.handle(new AttemptEvent.OwnerLost(1), clock.millis()));
  * }</pre>
  *
  * <p>A request ends exactly once. At-most-once work is granted its start once, and is sent again
@@ -90,7 +90,7 @@
   }
 
   /** Handles an event and returns the resulting actions, in order. */
-  public List<AttemptAction> on(AttemptEvent event, long nowMillis) {
+  public List<AttemptAction> handle(AttemptEvent event, long nowMillis) {
     if (ended) {
       afterEnd(event);
     } else if (nowMillis >= spec.deadlineMillis() && !(event instanceof AttemptEvent.Frame)) {
@@ -132,7 +132,7 @@
     } else if (event instanceof AttemptEvent.Unroutable unroutable) {
       open(unroutable.attempt())
           .ifPresent(attempt -> unroutable(attempt, unroutable.kind(), nowMillis));
-    } else if (event instanceof AttemptEvent.StartAsked request) {
+    } else if (event instanceof AttemptEvent.StartRequested request) {
       startRequested(request.attempt());
     } else if (event instanceof AttemptEvent.StartRecorded recorded) {
       open(recorded.attempt()).filter(Attempt::isRecordingStart).ifPresent(this::grant);
@@ -158,7 +158,7 @@
 
   /** Denies start requests and cancels attempts that arrive after the end. */
   private void afterEnd(AttemptEvent event) {
-    if (event instanceof AttemptEvent.StartAsked request) {
+    if (event instanceof AttemptEvent.StartRequested request) {
       actions.add(new AttemptAction.DenyStart(request.attempt()));
     } else if (event instanceof AttemptEvent.Routed routed) {
       actions.add(new AttemptAction.Cancel(routed.attempt()));
@@ -281,7 +281,7 @@
       // time left; nothing is sent meanwhile, so neither budget nor attempts are used.
       ownerlessAttempts++;
       resendAttempt = attempt;
-      resendAt = nowMillis + settings.ownerPauseMillis();
+      resendAt = nowMillis + settings.ownerRetryIntervalMillis();
     } else {
       endFailed();
     }
--- a/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationStore.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/ConfigurationStore.java
@@ -33,7 +33,7 @@
    * Retention of tombstones; exceeds the time for which a peer can be disconnected and rejoin with
    * its old state.
    */
-  public static final long TOMBSTONE_MILLIS = 3_600_000;
+  public static final long TOMBSTONE_RETENTION_MILLIS = 3_600_000;
 
   private final long tombstoneMillis;
   private final Map<ObjectKey, Long> tombstoneTimes = new HashMap<>();
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/LeaseManagerTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/LeaseManagerTest.java
@@ -19,15 +19,16 @@
   private static final DaemonId PEER = new DaemonId("peer");
   private static final DaemonId OTHER = new DaemonId("other");
 
-  private final PlatformContact contact = PlatformContact.create(LeaseSettings.DEFAULT, 0);
-  private final LeaseKeeper leaseManager = create();
+  private final PlatformConnectivity contact =
+      PlatformConnectivity.create(LeaseSettings.DEFAULT, 0);
+  private final LeaseManager leaseManager = create();
   private long version = 10;
 
-  private LeaseKeeper create() {
-    LeaseKeeper created =
-        LeaseKeeper.create(
+  private LeaseManager create() {
+    LeaseManager created =
+        LeaseManager.create(
             LeaseSettings.DEFAULT, SELF, "127.0.0.1:1", 1, new Random(1), contact, 0);
-    created.dataCentreIs(Set.of(SELF, PEER, OTHER));
+    created.setMembers(Set.of(SELF, PEER, OTHER));
     return created;
   }
 
@@ -36,7 +37,7 @@
     leaseManager.tick(0);
     leaseManager.readAnswered(0, Optional.empty());
     renew(0, 0);
-    leaseManager.tableSeen(version + 1);
+    leaseManager.tableVersionReceived(version + 1);
   }
 
   /** Sends a renewal at one time and answers it at another. */
@@ -61,7 +62,7 @@
   void validityCountsFromSendTimeOfRenewal() {
     advance(500, 3_000);
     assertThat(leaseManager.remainingMillis(3_000)).isEqualTo(6_000);
-    assertThat(leaseManager.standing(3_000)).isEqualTo(LeaseStanding.VALID);
+    assertThat(leaseManager.status(3_000)).isEqualTo(LeaseStatus.VALID);
   }
 
   @Test
@@ -87,9 +88,9 @@
       LeaseAction.Renew renew = (LeaseAction.Renew) leaseManager.tick(4_000).orElseThrow();
       leaseManager.release();
 
-      assertThat(leaseManager.isRenewalOpen()).isTrue();
+      assertThat(leaseManager.isRenewalInFlight()).isTrue();
       leaseManager.renewalAnswered(4_020, renew.operation(), new WriteAnswer.Stored(40));
-      assertThat(leaseManager.isRenewalOpen()).isFalse();
+      assertThat(leaseManager.isRenewalInFlight()).isFalse();
       assertThat(leaseManager.version()).isEqualTo(40);
       assertThat(leaseManager.tick(8_000)).isEmpty();
     }
@@ -100,7 +101,7 @@
       leaseManager.release();
       leaseManager.renewalAnswered(4_900, renew.operation(), new WriteAnswer.Lost());
 
-      assertThat(leaseManager.isRenewalOpen()).isFalse();
+      assertThat(leaseManager.isRenewalInFlight()).isFalse();
     }
   }
 
@@ -119,7 +120,7 @@
 
     @Test
     void permitsOnlyNonDestructiveOrdersWithoutFencing() {
-      assertThat(leaseManager.standing(9_000)).isEqualTo(LeaseStanding.LAPSED);
+      assertThat(leaseManager.status(9_000)).isEqualTo(LeaseStatus.LAPSED);
       assertThat(leaseManager.mayOrder(9_000, FencePolicy.IGNORES, OrderKind.UNLOAD)).isFalse();
       assertThat(leaseManager.mayOrder(9_000, FencePolicy.IGNORES, OrderKind.LOAD_INTO_FREE_SLOT))
           .isTrue();
@@ -139,34 +140,34 @@
           renew.operation(),
           new WriteAnswer.Conflict(version, Optional.of(renew.operation())));
       renew(17_000, 17_000);
-      leaseManager.tableSeen(version - 1);
-      assertThat(leaseManager.needsTable(17_000)).as("table before the renewal").isTrue();
-      assertThat(leaseManager.standing(17_000)).isEqualTo(LeaseStanding.LAPSED);
-      leaseManager.tableSeen(version + 1);
-      assertThat(leaseManager.standing(17_000)).isEqualTo(LeaseStanding.VALID);
-      assertThat(leaseManager.needsTable(17_000)).isFalse();
+      leaseManager.tableVersionReceived(version - 1);
+      assertThat(leaseManager.needsNewerTable(17_000)).as("table before the renewal").isTrue();
+      assertThat(leaseManager.status(17_000)).isEqualTo(LeaseStatus.LAPSED);
+      leaseManager.tableVersionReceived(version + 1);
+      assertThat(leaseManager.status(17_000)).isEqualTo(LeaseStatus.VALID);
+      assertThat(leaseManager.needsNewerTable(17_000)).isFalse();
     }
 
     @Test
     void lapsedForAllWhileAllPeersReportOutage() {
       report(PEER, true, version + 1, 8_500);
       report(OTHER, true, version + 1, 8_500);
-      assertThat(leaseManager.standing(9_000)).isEqualTo(LeaseStanding.LAPSED_FOR_ALL);
+      assertThat(leaseManager.status(9_000)).isEqualTo(LeaseStatus.LAPSED_FOR_ALL);
       advance(9_500, 12_000);
-      assertThat(leaseManager.standing(12_000)).as("old reports").isEqualTo(LeaseStanding.LAPSED);
+      assertThat(leaseManager.status(12_000)).as("old reports").isEqualTo(LeaseStatus.LAPSED);
     }
 
     @Test
     void missingReportCountsAsTakeover() {
       report(PEER, true, version + 1, 8_500);
-      assertThat(leaseManager.standing(9_000)).isEqualTo(LeaseStanding.LAPSED);
+      assertThat(leaseManager.status(9_000)).isEqualTo(LeaseStatus.LAPSED);
     }
 
     @Test
     void newerTableOfPeerCountsAsTakeover() {
       report(PEER, true, version + 1, 8_500);
       report(OTHER, true, version + 2, 8_500);
-      assertThat(leaseManager.standing(9_000)).isEqualTo(LeaseStanding.LAPSED);
+      assertThat(leaseManager.status(9_000)).isEqualTo(LeaseStatus.LAPSED);
     }
   }
 
@@ -177,9 +178,9 @@
   @Test
   void pauseStopsOrdersUntilLaterRenewal() {
     advance(500, 3_000);
-    assertThat(leaseManager.standing(5_500)).isEqualTo(LeaseStanding.LAPSED);
+    assertThat(leaseManager.status(5_500)).isEqualTo(LeaseStatus.LAPSED);
     renew(5_500, 5_600);
-    assertThat(leaseManager.standing(5_600)).isEqualTo(LeaseStanding.VALID);
+    assertThat(leaseManager.status(5_600)).isEqualTo(LeaseStatus.VALID);
   }
 
   @Test
@@ -198,15 +199,15 @@
 
     @Test
     void successorWaitsForPredecessorsLease() {
-      LeaseKeeper successor = create();
+      LeaseManager successor = create();
       successor.tick(0);
       LeaseRecord former = new LeaseRecord(SELF, "", 5, 1, 10_000, LeaseState.ACTIVE);
       successor.readAnswered(0, Optional.of(new StoredLease(11, former)));
       assertThat(successor.incarnation()).isEqualTo(6);
       LeaseAction.Renew renew = (LeaseAction.Renew) successor.tick(0).orElseThrow();
       successor.renewalAnswered(0, renew.operation(), new WriteAnswer.Stored(12));
-      successor.tableSeen(13);
-      assertThat(successor.standing(1_000)).isEqualTo(LeaseStanding.STARTING);
+      successor.tableVersionReceived(13);
+      assertThat(successor.status(1_000)).isEqualTo(LeaseStatus.STARTING);
       assertThat(successor.mayOrder(1_000, FencePolicy.IGNORES, OrderKind.UNLOAD)).isFalse();
       assertThat(successor.mayHandOver(1_000)).isFalse();
       assertThat(leaseManager.mayHandOver(1_000)).isTrue();
@@ -219,7 +220,7 @@
      */
     @Test
     void processFrozenBeforeFirstLeaseIsSuperseded() {
-      LeaseKeeper frozen = create();
+      LeaseManager frozen = create();
       frozen.tick(0);
       frozen.readAnswered(0, Optional.empty());
       LeaseAction.Renew renew = (LeaseAction.Renew) frozen.tick(30_000).orElseThrow();
@@ -228,7 +229,7 @@
       frozen.tick(30_000);
       LeaseRecord later = new LeaseRecord(SELF, "", 9, 1, 10_000, LeaseState.ACTIVE);
       frozen.readAnswered(30_000, Optional.of(new StoredLease(50, later)));
-      assertThat(frozen.standing(30_000)).isEqualTo(LeaseStanding.SUPERSEDED);
+      assertThat(frozen.status(30_000)).isEqualTo(LeaseStatus.SUPERSEDED);
       assertThat(frozen.tick(60_000)).isEmpty();
     }
 
@@ -244,7 +245,7 @@
       leaseManager.tick(4_000);
       LeaseRecord later = new LeaseRecord(SELF, "", 9, 1, 10_000, LeaseState.ACTIVE);
       leaseManager.readAnswered(4_000, Optional.of(new StoredLease(50, later)));
-      assertThat(leaseManager.standing(4_000)).isEqualTo(LeaseStanding.SUPERSEDED);
+      assertThat(leaseManager.status(4_000)).isEqualTo(LeaseStatus.SUPERSEDED);
       assertThat(leaseManager.mayOrder(4_000, FencePolicy.CHECKS, OrderKind.UNLOAD)).isFalse();
     }
   }
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/LeaseObserverTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/LeaseObserverTest.java
@@ -9,7 +9,8 @@
 
   private static final DaemonId HOLDER = new DaemonId("holder");
 
-  private final PlatformContact contact = PlatformContact.create(LeaseSettings.DEFAULT, 0);
+  private final PlatformConnectivity contact =
+      PlatformConnectivity.create(LeaseSettings.DEFAULT, 0);
   private final LeaseObserver observer = LeaseObserver.create(LeaseSettings.DEFAULT, contact);
 
   private void reachPlatform(long first, long last) {
@@ -21,11 +22,11 @@
   @Test
   void expiryRequiresReadSentOneLeaseDurationAfterVersion() {
     reachPlatform(0, 12_000);
-    observer.heartbeatCarried(1_000, HOLDER, 5);
+    observer.leaseVersionReceived(1_000, HOLDER, 5);
     observer.leaseRead(10_999, 11_900, HOLDER, 5);
-    assertThat(observer.hasLapsed(11_900, HOLDER, 0)).isFalse();
+    assertThat(observer.hasExpired(11_900, HOLDER, 0)).isFalse();
     observer.leaseRead(11_000, 11_900, HOLDER, 5);
-    assertThat(observer.hasLapsed(11_900, HOLDER, 0)).isTrue();
+    assertThat(observer.hasExpired(11_900, HOLDER, 0)).isTrue();
   }
 
   /**
@@ -35,9 +36,9 @@
   @Test
   void readSentBeforeTableWasReceivedIsIgnored() {
     reachPlatform(0, 12_000);
-    observer.heartbeatCarried(1_000, HOLDER, 5);
+    observer.leaseVersionReceived(1_000, HOLDER, 5);
     observer.leaseRead(11_000, 11_100, HOLDER, 5);
-    assertThat(observer.hasLapsed(11_200, HOLDER, 11_150)).isFalse();
+    assertThat(observer.hasExpired(11_200, HOLDER, 11_150)).isFalse();
   }
 
   /**
@@ -48,11 +49,11 @@
   @Test
   void expiryAfterOutageRequiresFullLeaseDurationOfContact() {
     contact.succeeded(0);
-    observer.heartbeatCarried(1_000, HOLDER, 5);
+    observer.leaseVersionReceived(1_000, HOLDER, 5);
     reachPlatform(60_000, 72_000);
     observer.leaseRead(60_500, 60_600, HOLDER, 5);
-    assertThat(observer.hasLapsed(72_000, HOLDER, 0)).isFalse();
+    assertThat(observer.hasExpired(72_000, HOLDER, 0)).isFalse();
     observer.leaseRead(70_000, 70_100, HOLDER, 5);
-    assertThat(observer.hasLapsed(72_000, HOLDER, 0)).isTrue();
+    assertThat(observer.hasExpired(72_000, HOLDER, 0)).isTrue();
   }
 }
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipPlannerTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipPlannerTest.java
@@ -21,7 +21,8 @@
   private static final int ENDPOINTS = 520;
   private static final int DAEMONS = 17;
 
-  private final PlatformContact contact = PlatformContact.create(LeaseSettings.DEFAULT, 0);
+  private final PlatformConnectivity contact =
+      PlatformConnectivity.create(LeaseSettings.DEFAULT, 0);
   private final LeaseObserver observer = LeaseObserver.create(LeaseSettings.DEFAULT, contact);
   private final List<DaemonId> ranked = RendezvousHash.rank("propose/surco", daemons());
 
@@ -41,18 +42,18 @@
     for (int i = 0; i < ENDPOINTS; i++) {
       endpoints.add(new EndpointId("e" + i));
     }
-    planner.endpointsAre(endpoints);
-    planner.tableSeen(0, table);
+    planner.setEndpoints(endpoints);
+    planner.tableReceived(0, table);
     Map<DaemonId, Candidate> candidates = new TreeMap<>();
     alive.forEach(daemon -> candidates.put(daemon, new Candidate(1, 1)));
-    planner.candidatesAre(0, 1, candidates);
+    planner.setCandidates(0, 1, candidates);
     return planner;
   }
 
   private OwnershipTable fullTable() {
     OwnershipPlanner planner = planner(ranked.get(0), ranked, OwnershipTable.EMPTY);
     OwnershipProposal proposal = planner.takeOver(0).orElseThrow();
-    planner.answered(0, proposal.operation(), new WriteAnswer.Stored(40));
+    planner.writeAnswered(0, proposal.operation(), new WriteAnswer.Stored(40));
     return planner.table();
   }
 
@@ -119,10 +120,10 @@
       assertThat(planner.isOwned(endpoint)).isTrue();
       OwnershipProposal proposal = planner.handOver(0, Set.of(endpoint)).orElseThrow();
       assertThat(planner.isOwned(endpoint)).isFalse();
-      planner.answered(0, proposal.operation(), new WriteAnswer.Lost());
+      planner.writeAnswered(0, proposal.operation(), new WriteAnswer.Lost());
       assertThat(planner.isOwned(endpoint)).isFalse();
       assertThat(planner.retry(60_000)).contains(proposal);
-      planner.answered(
+      planner.writeAnswered(
           60_000,
           proposal.operation(),
           new WriteAnswer.Conflict(41, Optional.of(proposal.operation())));
@@ -136,21 +137,22 @@
     void onlyIncarnationInTableHandsOver() {
       Map<DaemonId, Candidate> candidates = new TreeMap<>();
       ranked.forEach(daemon -> candidates.put(daemon, new Candidate(1, 1)));
-      planner.candidatesAre(0, 2, candidates);
+      planner.setCandidates(0, 2, candidates);
       assertThat(planner.handOver(0, Set.of(endpoint))).as("a later process").isEmpty();
-      planner.candidatesAre(0, 0, candidates);
+      planner.setCandidates(0, 0, candidates);
       assertThat(planner.handOver(0, Set.of(endpoint))).as("a former process").isEmpty();
-      planner.candidatesAre(0, 1, candidates);
+      planner.setCandidates(0, 1, candidates);
       assertThat(planner.handOver(0, Set.of(endpoint))).isPresent();
     }
 
     @Test
     void conflictReturnsEndpointOnceNewerTableIsReceived() {
       OwnershipProposal proposal = planner.handOver(0, Set.of(endpoint)).orElseThrow();
-      planner.answered(0, proposal.operation(), new WriteAnswer.Conflict(41, Optional.empty()));
+      planner.writeAnswered(
+          0, proposal.operation(), new WriteAnswer.Conflict(41, Optional.empty()));
       assertThat(planner.isOwned(endpoint)).as("before the table is known").isFalse();
       OwnershipTable currentTable = planner.table();
-      planner.tableSeen(
+      planner.tableReceived(
           1,
           OwnershipTable.of(
               41, currentTable.epoch() + 1, currentTable.owners(), currentTable.incarnations()));
@@ -171,7 +173,7 @@
     private final OwnershipTable table =
         OwnershipTable.of(5, 1, Map.of(endpoint, owner), Map.of(owner, 1L));
     private final Membership membership = Membership.create(MembershipSettings.DEFAULT, 0);
-    private final DeputyRule selector = DeputyRule.create(self);
+    private final BackupOwnerSelector selector = BackupOwnerSelector.create(self);
 
     @Test
     void backupOwnerServesResidentAdaptersWithoutOrders() {
@@ -185,7 +187,7 @@
     void noBackupOwnerWhileOwnerIsAliveOrPlatformIsReachable() {
       assertThat(selector.role(endpoint, table, membership, false)).isEqualTo(ServingRole.NONE);
       membership.heartbeatReceived(0, owner, 1, MemberState.ALIVE);
-      assertThat(selector.server(endpoint, table, membership, true)).contains(owner);
+      assertThat(selector.servingDaemon(endpoint, table, membership, true)).contains(owner);
     }
   }
 }
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipReplicaFuzzTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipReplicaFuzzTest.java
@@ -100,14 +100,14 @@
 
     void heartbeat(int from, int to) {
       long version = replicas.get(from).table().version();
-      inFlight.add(() -> replicas.get(to).versionSeen(daemons.get(from), version));
+      inFlight.add(() -> replicas.get(to).peerVersionReceived(daemons.get(from), version));
     }
 
     void requestUpdate(int daemon) {
       List<DaemonId> peers = others(daemon).stream().map(daemons::get).toList();
       OwnershipReplica replica = replicas.get(daemon);
       long knownVersion = replica.table().version();
-      Optional<DaemonId> peer = replica.ask(now, peers);
+      Optional<DaemonId> peer = replica.selectPeer(now, peers);
       peer.ifPresent(
           requestedPeer -> {
             int answering = daemons.indexOf(requestedPeer);
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipReplicaTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/OwnershipReplicaTest.java
@@ -82,19 +82,19 @@
 
     @Test
     void requestsFromOnePeerAtATime() {
-      DaemonId first = replica.ask(0, List.of(D1, D2)).orElseThrow();
+      DaemonId first = replica.selectPeer(0, List.of(D1, D2)).orElseThrow();
 
-      assertThat(replica.ask(OwnershipReplica.REQUEST_INTERVAL_MILLIS - 1, List.of(D1, D2)))
+      assertThat(replica.selectPeer(OwnershipReplica.REQUEST_INTERVAL_MILLIS - 1, List.of(D1, D2)))
           .isEmpty();
-      assertThat(replica.ask(OwnershipReplica.REQUEST_INTERVAL_MILLIS, List.of(D1, D2)))
+      assertThat(replica.selectPeer(OwnershipReplica.REQUEST_INTERVAL_MILLIS, List.of(D1, D2)))
           .hasValueSatisfying(second -> assertThat(second).isNotEqualTo(first));
     }
 
     @Test
     void prefersPeerThatHoldsNewerVersion() {
-      replica.versionSeen(D2, THIRD.version());
+      replica.peerVersionReceived(D2, THIRD.version());
 
-      assertThat(replica.ask(0, List.of(D1, D2))).hasValue(D2);
+      assertThat(replica.selectPeer(0, List.of(D1, D2))).hasValue(D2);
     }
 
     @Test
@@ -102,7 +102,7 @@
       replica.deltaReceived(OwnershipDelta.between(FIRST, THIRD));
 
       assertThat(replica.table()).isEqualTo(THIRD);
-      assertThat(replica.ask(0, List.of(D1, D2))).isEmpty();
+      assertThat(replica.selectPeer(0, List.of(D1, D2))).isEmpty();
     }
   }
 
--- a/coordination/src/test/java/io/sequoiapass/coordination/process/SimulatedDaemon.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/process/SimulatedDaemon.java
@@ -16,11 +16,11 @@
 
   final DaemonId id;
   final int process;
-  final LeaseKeeper leaseManager;
+  final LeaseManager leaseManager;
   final OwnershipPlanner planner;
   private final SimulatedDataCentre world;
   private final Membership membership;
-  private final PlatformContact contact;
+  private final PlatformConnectivity contact;
   private final LeaseObserver observer;
   private final Map<DaemonId, Long> echoes = new HashMap<>();
   private final long clockOffset;
@@ -39,13 +39,13 @@
     this.clockOffset = 1_000_000L * (index + 1);
     this.clockPermille = 990 + 10L * (index % 3);
     long now = now();
-    this.contact = PlatformContact.create(LeaseSettings.DEFAULT, now);
+    this.contact = PlatformConnectivity.create(LeaseSettings.DEFAULT, now);
     this.membership = Membership.create(MembershipSettings.DEFAULT, now);
     this.observer = LeaseObserver.create(LeaseSettings.DEFAULT, contact);
     this.leaseManager =
-        LeaseKeeper.create(
+        LeaseManager.create(
             LeaseSettings.DEFAULT, id, "127.0.0.1:1", process, random.split(), contact, now);
-    leaseManager.dataCentreIs(world.names());
+    leaseManager.setMembers(world.names());
     this.planner =
         OwnershipPlanner.create(
             OwnershipSettings.DEFAULT,
@@ -53,7 +53,7 @@
             id,
             observer,
             random.split());
-    planner.endpointsAre(world.endpoints());
+    planner.setEndpoints(world.endpoints());
   }
 
   long now() {
@@ -65,11 +65,11 @@
     leaseManager.tick(now).ifPresent(this::call);
     membership.tick(now).stream()
         .filter(change -> change.to() == MemberState.SUSPECT)
-        .forEach(change -> observer.fellSilent(change.daemon()));
+        .forEach(change -> observer.heartbeatMissed(change.daemon()));
     sendHeartbeats(now);
     readTable(now);
-    leaseManager.tableSeen(planner.table().version());
-    planner.candidatesAre(now, leaseManager.incarnation(), candidates(now));
+    leaseManager.tableVersionReceived(planner.table().version());
+    planner.setCandidates(now, leaseManager.incarnation(), candidates(now));
     planner.leasesToCheck(now).forEach(this::readLease);
     proposal(now).ifPresent(this::write);
     sendOrders(now);
@@ -88,7 +88,7 @@
 
   private Optional<OwnershipProposal> proposal(long now) {
     Optional<OwnershipProposal> found = planner.retry(now);
-    if (found.isEmpty() && (leaseManager.needsTable(now) || planner.needsConfirmation())) {
+    if (found.isEmpty() && (leaseManager.needsNewerTable(now) || planner.needsConfirmation())) {
       found = planner.confirm(now);
     }
     if (found.isEmpty()) {
@@ -142,8 +142,8 @@
     long now = now();
     membership.heartbeatReceived(now, peer, incarnation, state);
     leaseManager.peerReported(peer, report);
-    observer.heartbeatCarried(now, peer, report.leaseVersion());
-    planner.tableSeen(now, table);
+    observer.leaseVersionReceived(now, peer, report.leaseVersion());
+    planner.tableReceived(now, table);
     echoes.merge(peer, sentAt, Math::max);
   }
 
@@ -158,7 +158,7 @@
         SimulatedPlatform::table,
         table -> {
           contact.succeeded(now());
-          planner.tableSeen(now(), table);
+          planner.tableReceived(now(), table);
         },
         () -> {});
   }
@@ -215,8 +215,8 @@
                 proposal.table()),
         answer -> {
           contact.succeeded(now());
-          planner.answered(now(), proposal.operation(), answer);
+          planner.writeAnswered(now(), proposal.operation(), answer);
         },
-        () -> planner.answered(now(), proposal.operation(), new WriteAnswer.Lost()));
+        () -> planner.writeAnswered(now(), proposal.operation(), new WriteAnswer.Lost()));
   }
 }
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/AdmissionQueueTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/AdmissionQueueTest.java
@@ -122,9 +122,9 @@
     void doesNotServeExpiredRequests() {
       queue.offer(ticket("s", "a", Priority.INTERACTIVE, 50), 0);
       assertThat(queue.expire(50)).isEmpty();
-      AdmissionQueue.Turn turn = queue.poll(51);
-      assertThat(turn.next()).isEmpty();
-      assertThat(turn.refused().get(0).outcome().kind()).isEqualTo(ErrorKind.DEADLINE_PASSED);
+      AdmissionQueue.PollResult result = queue.poll(51);
+      assertThat(result.next()).isEmpty();
+      assertThat(result.refused().get(0).outcome().kind()).isEqualTo(ErrorKind.DEADLINE_PASSED);
       assertThat(queue.size()).isZero();
     }
   }
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/AttemptSimulation.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/AttemptSimulation.java
@@ -83,7 +83,7 @@
   }
 
   private void handle(AttemptEvent event) {
-    perform(attempts.on(event, now));
+    perform(attempts.handle(event, now));
   }
 
   private void perform(List<AttemptAction> actions) {
@@ -150,9 +150,9 @@
     } else if (send.mode() == AttemptAction.Mode.ATTACH_ONLY || oneIn(6)) {
       refuse(attempt, NotRunProof.withdrawnFromQueue());
     } else if (spec.repeatability().needsStartGrant()) {
-      toEntry(attempt, new AttemptEvent.StartAsked(attempt));
+      toEntry(attempt, new AttemptEvent.StartRequested(attempt));
       if (oneIn(4)) {
-        toEntry(attempt, new AttemptEvent.StartAsked(attempt));
+        toEntry(attempt, new AttemptEvent.StartRequested(attempt));
       }
       if (oneIn(6)) {
         withdrawn.add(attempt);
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/LedgerSimulation.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/LedgerSimulation.java
@@ -4,8 +4,8 @@
 import io.sequoiapass.coordination.IdempotencyKey;
 import io.sequoiapass.coordination.OperationId;
 import io.sequoiapass.coordination.request.LedgerMessage.Answer;
-import io.sequoiapass.coordination.request.LedgerMessage.AskHolder;
 import io.sequoiapass.coordination.request.LedgerMessage.Finish;
+import io.sequoiapass.coordination.request.LedgerMessage.QueryHolder;
 import io.sequoiapass.coordination.request.LedgerMessage.Step;
 import io.sequoiapass.coordination.request.LedgerRecord.Holder;
 import java.util.ArrayList;
@@ -190,8 +190,8 @@
   }
 
   private void sendToPrimary(Daemon daemon, IdempotencyKey key, LedgerMessage message) {
-    new LedgerHomes(Ranking.rendezvous(), daemon.view.members())
-        .home(key)
+    new LedgerReplicas(Ranking.rendezvous(), daemon.view.members())
+        .primary(key)
         .ifPresent(primary -> send(daemon, List.of(new LedgerSend(primary.daemon(), message))));
   }
 
@@ -215,18 +215,18 @@
       inFlight.add(envelope);
     } else if (envelope.message instanceof Answer answer) {
       answered(to, answer);
-    } else if (envelope.message instanceof AskHolder query) {
+    } else if (envelope.message instanceof QueryHolder query) {
       answerQuery(to, envelope.from.daemon(), query);
     } else {
       send(to, to.ledger.receive(envelope.from.daemon(), envelope.message, now));
     }
   }
 
-  private void answerQuery(Daemon daemon, DaemonId primary, AskHolder query) {
+  private void answerQuery(Daemon daemon, DaemonId primary, QueryHolder query) {
     PendingFinish ended = daemon.ended.get(query.holder());
     LedgerMessage reply = ended == null ? null : ended.finish;
     if (daemon.open.containsKey(query.holder())) {
-      reply = new LedgerMessage.StillOpen(query.key(), query.holder(), query.asker());
+      reply = new LedgerMessage.StillOpen(query.key(), query.holder(), query.requester());
     } else if (reply == null && query.holder().entry().equals(daemon.self)) {
       reply = new Finish(query.key(), query.holder(), OutcomeClass.UNKNOWN);
     }
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/LedgerTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/LedgerTest.java
@@ -48,8 +48,8 @@
       if (send.message() instanceof LedgerMessage.Copy copy) {
         LedgerMessage copied = new LedgerMessage.Copied(SECONDARY, KEY, copy.record().sequence());
         sends.addAll(ledger.receive(SECONDARY.daemon(), copied, now));
-      } else if (send.message() instanceof LedgerMessage.AskHolder query) {
-        LedgerMessage open = new LedgerMessage.StillOpen(KEY, query.holder(), query.asker());
+      } else if (send.message() instanceof LedgerMessage.QueryHolder query) {
+        LedgerMessage open = new LedgerMessage.StillOpen(KEY, query.holder(), query.requester());
         sends.addAll(ledger.receive(send.to(), open, now));
       }
     }
@@ -79,7 +79,7 @@
   @Test
   void entryDaemonThatLostKeyMayNotStart() {
     assertThat(reserve(FIRST, "body", 0)).containsExactly(Optional.empty());
-    ledger.entryLost(FIRST.entry(), 0);
+    ledger.entryDaemonLost(FIRST.entry(), 0);
     assertThat(reserve(OTHER, "body", 0)).containsExactly(Optional.empty());
     assertThat(markStart(FIRST)).containsExactly(Optional.of(ErrorKind.LEDGER_UNAVAILABLE));
     assertThat(markStart(OTHER)).containsExactly(Optional.empty());
@@ -89,7 +89,7 @@
   void startedKeyOfLostEntryDaemonIsUnknown() {
     reserve(FIRST, "body", 0);
     markStart(FIRST);
-    ledger.entryLost(FIRST.entry(), 0);
+    ledger.entryDaemonLost(FIRST.entry(), 0);
     assertThat(reserve(OTHER, "body", 0))
         .containsExactly(Optional.of(ErrorKind.KEY_OUTCOME_UNKNOWN));
   }
@@ -123,7 +123,7 @@
         0);
     assertThat(newLedger.decides(KEY, 1)).isFalse();
 
-    newLedger.nothingBefore();
+    newLedger.assumeNoEarlierRecords();
 
     assertThat(newLedger.decides(KEY, 1)).isTrue();
   }
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/RequestAttemptsTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/RequestAttemptsTest.java
@@ -33,18 +33,18 @@
   }
 
   private List<AttemptAction> refused(int attempt, ErrorKind kind, long now) {
-    return attempts.on(
+    return attempts.handle(
         new AttemptEvent.Refused(
             attempt, kind, NotRunProof.withdrawnFromQueue(), OptionalLong.empty()),
         now);
   }
 
   private List<AttemptAction> routed(int attempt) {
-    return attempts.on(new AttemptEvent.Routed(attempt, ENGINE), 0);
+    return attempts.handle(new AttemptEvent.Routed(attempt, ENGINE), 0);
   }
 
   private List<AttemptAction> token(int index, long now) {
-    return attempts.on(
+    return attempts.handle(
         new AttemptEvent.Frame(
             new AnswerFrame.Token(
                 AttemptSimulation.ID, 1, AttemptSimulation.NOTES, index, "t" + index)),
@@ -71,7 +71,7 @@
         assertThat(refused(attempt, ErrorKind.DRAINING, now)).isEmpty();
         assertThat(attempts.nextTickMillis()).isEqualTo(now + SETTINGS.movePauseMillis());
         now = attempts.nextTickMillis();
-        AttemptAction.Send send = onlySend(attempts.on(new AttemptEvent.Tick(), now));
+        AttemptAction.Send send = onlySend(attempts.handle(new AttemptEvent.Tick(), now));
         assertThat(send.attempt()).isEqualTo(attempt + 1);
         assertThat(send.avoid()).isEmpty();
       }
@@ -93,7 +93,7 @@
       attempts.begin(0);
       routed(1);
       refused(1, ErrorKind.DRAINING, 0);
-      assertThat(attempts.on(new AttemptEvent.Tick(), DEADLINE))
+      assertThat(attempts.handle(new AttemptEvent.Tick(), DEADLINE))
           .singleElement()
           .extracting(action -> ((AttemptAction.End) action).outcome().outcomeClass())
           .isEqualTo(OutcomeClass.NOT_RUN);
@@ -118,7 +118,7 @@
       attempts.begin(0);
       routed(1);
       assertThat(budget.take(RetryBudget.Use.RETRY)).isTrue();
-      AttemptAction.Send send = onlySend(attempts.on(new AttemptEvent.OwnerLost(1), 5));
+      AttemptAction.Send send = onlySend(attempts.handle(new AttemptEvent.OwnerLost(1), 5));
       assertThat(send.mode()).isEqualTo(AttemptAction.Mode.RUN);
       assertThat(send.prefer()).isEmpty();
       assertThat(send.avoid()).containsExactly(ENGINE);
@@ -129,13 +129,14 @@
       attempts.begin(0);
       routed(1);
       token(0, 1);
-      attempts.on(new AttemptEvent.OwnerLost(1), 5);
+      attempts.handle(new AttemptEvent.OwnerLost(1), 5);
       int attempt = 2;
       for (long now = 5; now < 4_000; now = attempts.nextTickMillis()) {
-        assertThat(attempts.on(new AttemptEvent.Unroutable(attempt, ErrorKind.NO_ENDPOINT), now))
+        assertThat(
+                attempts.handle(new AttemptEvent.Unroutable(attempt, ErrorKind.NO_ENDPOINT), now))
             .isEmpty();
         AttemptAction.Send send =
-            onlySend(attempts.on(new AttemptEvent.Tick(), attempts.nextTickMillis()));
+            onlySend(attempts.handle(new AttemptEvent.Tick(), attempts.nextTickMillis()));
         attempt = send.attempt();
         assertThat(send.prefer()).contains(ENGINE);
       }
@@ -146,7 +147,7 @@
       attempts.begin(0);
       routed(1);
       token(0, 1);
-      AttemptAction.Send send = onlySend(attempts.on(new AttemptEvent.OwnerLost(1), 5));
+      AttemptAction.Send send = onlySend(attempts.handle(new AttemptEvent.OwnerLost(1), 5));
       assertThat(send.mode()).isEqualTo(AttemptAction.Mode.ATTACH_OR_RUN);
       assertThat(send.prefer()).contains(ENGINE);
       assertThat(send.resumeFrom()).isEqualTo(1);
@@ -163,11 +164,11 @@
       attempts.begin(0);
       routed(1);
       token(0, 1);
-      attempts.on(new AttemptEvent.Flow(true), 2);
+      attempts.handle(new AttemptEvent.Flow(true), 2);
       token(1, 3);
       assertThat(attempts.nextTickMillis()).isEqualTo(DEADLINE);
-      assertThat(attempts.on(new AttemptEvent.Tick(), 5_000)).isEmpty();
-      attempts.on(new AttemptEvent.Flow(false), 5_000);
+      assertThat(attempts.handle(new AttemptEvent.Tick(), 5_000)).isEmpty();
+      attempts.handle(new AttemptEvent.Flow(false), 5_000);
       assertThat(attempts.nextTickMillis()).isEqualTo(5_000 + SETTINGS.stallMillis());
     }
 
@@ -176,7 +177,7 @@
       attempts.begin(0);
       routed(1);
       token(0, 1);
-      assertThat(attempts.on(new AttemptEvent.Tick(), 2_001)).isNotEmpty();
+      assertThat(attempts.handle(new AttemptEvent.Tick(), 2_001)).isNotEmpty();
     }
   }
 
--- a/coordination/src/test/java/io/sequoiapass/coordination/request/RetryBudgetTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/request/RetryBudgetTest.java
@@ -40,7 +40,7 @@
     assertThat(request.begin(0)).hasSize(1);
     while (!request.hasEnded()) {
       assertThat(
-              request.on(
+              request.handle(
                   new AttemptEvent.Refused(
                       request.attemptCount(),
                       ErrorKind.OVERLOADED,
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/ConfigurationFuzzTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/ConfigurationFuzzTest.java
@@ -49,7 +49,7 @@
 
     Simulation() {
       for (int i = 0; i < STORES; i++) {
-        stores.add(ConfigurationStore.create(ConfigurationStore.TOMBSTONE_MILLIS));
+        stores.add(ConfigurationStore.create(ConfigurationStore.TOMBSTONE_RETENTION_MILLIS));
         seen.add(new HashMap<>());
       }
     }
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/ConfigurationStoreTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/ConfigurationStoreTest.java
@@ -18,7 +18,7 @@
 class ConfigurationStoreTest {
 
   private static final ObjectKey NOTES = new ObjectKey(ObjectKind.ADAPTER, "notes");
-  private static final long RETENTION = ConfigurationStore.TOMBSTONE_MILLIS;
+  private static final long RETENTION = ConfigurationStore.TOMBSTONE_RETENTION_MILLIS;
 
   private final ConfigurationStore store = ConfigurationStore.create(RETENTION);
 
--- a/coordination/src/test/java/io/sequoiapass/coordination/version/HostListMonitorTest.java
+++ b/coordination/src/test/java/io/sequoiapass/coordination/version/HostListMonitorTest.java
@@ -107,7 +107,7 @@
   class Snapshots {
 
     private final ConfigurationStore store =
-        ConfigurationStore.create(ConfigurationStore.TOMBSTONE_MILLIS);
+        ConfigurationStore.create(ConfigurationStore.TOMBSTONE_RETENTION_MILLIS);
     private final HintedSnapshots hinted = new HintedSnapshots();
 
     private EndpointRecord endpoint(String id, HostId host, EndpointState state) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ControlRounds.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ControlRounds.java
@@ -69,9 +69,9 @@
     List<EndpointRecord> now = ownership.served();
     if (now != served) {
       served = now;
-      owner.owns(now);
+      owner.updateOwned(now);
     }
-    owner.pauses(ownership.handingOver());
+    owner.updateHandovers(ownership.handingOver());
     owner.apply(configuration.preset());
     // Ready before the owners are known and connected, a new daemon would refuse the requests that
     // the load balancer sends. Both take moments, except for a dead peer; hence the time limit.
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/DaemonEvents.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/DaemonEvents.java
@@ -9,7 +9,7 @@
 import io.sequoiapass.coordination.EndpointId;
 import io.sequoiapass.coordination.MillisClock;
 import io.sequoiapass.coordination.RequestId;
-import io.sequoiapass.coordination.process.LeaseStanding;
+import io.sequoiapass.coordination.process.LeaseStatus;
 import io.sequoiapass.coordination.process.MembershipChange;
 import io.sequoiapass.coordination.process.OwnershipTable;
 import io.sequoiapass.coordination.request.ErrorKind;
@@ -261,7 +261,7 @@
   }
 
   @Override
-  public void leaseStands(LeaseStanding standing) {
+  public void leaseStatusChanged(LeaseStatus standing) {
     switch (standing) {
       case VALID -> {
         EventLog.log(LogEvent.LEASE_ACQUIRED, daemon, "its newest");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/DaemonView.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/DaemonView.java
@@ -3,7 +3,7 @@
 import com.codahale.metrics.MetricRegistry;
 import io.sequoiapass.coordination.DaemonId;
 import io.sequoiapass.coordination.DataCentreId;
-import io.sequoiapass.daemon.process.entry.Entries;
+import io.sequoiapass.daemon.process.entry.EntryShards;
 import io.sequoiapass.daemon.process.owner.Owner;
 import io.sequoiapass.daemon.process.ownership.OwnershipNode;
 import io.sequoiapass.daemon.process.timeline.Timeline;
@@ -33,7 +33,7 @@
     Timeline timeline,
     ConfigurationNode configuration,
     OwnershipNode ownership,
-    Entries entries,
+    EntryShards entries,
     Owner owner,
     ControlRounds rounds,
     PlannedStop stop)
@@ -57,7 +57,7 @@
             incarnation,
             ready(),
             stop.phase() != StopSequence.Phase.SERVING,
-            ownership.standing().name(),
+            ownership.leaseStatus().name(),
             ownership.owned(),
             configuration.snapshot().revision(),
             configuration.preset().name(),
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/EntryDaemon.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/EntryDaemon.java
@@ -26,8 +26,8 @@
 import io.sequoiapass.daemon.connection.platform.PlatformClient;
 import io.sequoiapass.daemon.process.entry.AffinityRoutes;
 import io.sequoiapass.daemon.process.entry.CallerHandler;
-import io.sequoiapass.daemon.process.entry.Entries;
 import io.sequoiapass.daemon.process.entry.EntryShard;
+import io.sequoiapass.daemon.process.entry.EntryShards;
 import io.sequoiapass.daemon.process.entry.StartRecords;
 import io.sequoiapass.daemon.process.ledger.LedgerNode;
 import io.sequoiapass.daemon.process.log.EventLog;
@@ -109,7 +109,7 @@
   private final DaemonEvents events;
   private final PlacementByPreset placement;
   private final AffinityRoutes routes;
-  private final Entries entries;
+  private final EntryShards entries;
   private final Owner owner;
   private final PeerNode peers;
   private final ConfigurationNode configuration;
@@ -198,11 +198,11 @@
     return new AffinityRoutes(
         clock,
         settings.placementWeights(),
-        endpoint -> this.ownership.server(endpoint),
+        endpoint -> this.ownership.servingDaemon(endpoint),
         daemon -> this.peers.to(daemon));
   }
 
-  private Entries entries() {
+  private EntryShards entries() {
     List<EntryShard> shards = new ArrayList<>();
     for (int i = 0; i < settings.threads(); i++) {
       RetryBudget budget = new RetryBudget(settings.retryBudgetPercent() / PERCENT, RETRY_BURST);
@@ -210,7 +210,7 @@
           new EntryShard(
               clock, routes, AttemptSettings.DEFAULT, budget, events, new DeferredStartRecords()));
     }
-    return new Entries(shards);
+    return new EntryShards(shards);
   }
 
   private LedgerNode ledger(PlatformClient platform) {
@@ -387,12 +387,12 @@
     @Override
     public void received(DaemonId peer, PeerMessage message) {
       if (message instanceof PeerMessage.Heartbeat beat && peers.isNeighbour(peer)) {
-        configuration.heard(peer, beat.configuration(), beat.cutOff());
+        configuration.digestReceived(peer, beat.configuration(), beat.cutOff());
       }
       if (message instanceof PeerMessage.ObjectsPush push) {
-        configuration.pushed(peer, push);
+        configuration.objectsPushed(peer, push);
       } else if (message instanceof PeerMessage.ObjectsRequest request) {
-        configuration.asked(peer, request);
+        configuration.objectsRequested(peer, request);
       } else if (message instanceof PeerMessage.HostsPush push && peers.isNeighbour(peer)) {
         configuration.hostsPushed(push);
       } else if (message instanceof PeerMessage.Ledger about) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/LocalEntry.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/LocalEntry.java
@@ -3,12 +3,12 @@
 import io.sequoiapass.daemon.connection.peer.PeerChannel;
 import io.sequoiapass.daemon.connection.peer.PeerListener;
 import io.sequoiapass.daemon.connection.peer.PeerMessage;
-import io.sequoiapass.daemon.process.entry.Entries;
+import io.sequoiapass.daemon.process.entry.EntryShards;
 
 /**
  * Delivers messages from this process's own owner to its entry; safe for use by several threads.
  */
-record LocalEntry(Entries entries) implements PeerListener {
+record LocalEntry(EntryShards entries) implements PeerListener {
 
   @Override
   public void opened(PeerChannel channel) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/PeerNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/PeerNode.java
@@ -9,7 +9,7 @@
 import io.sequoiapass.daemon.connection.peer.PeerListener;
 import io.sequoiapass.daemon.connection.peer.PeerMessage;
 import io.sequoiapass.daemon.process.entry.Channels;
-import io.sequoiapass.daemon.process.entry.Entries;
+import io.sequoiapass.daemon.process.entry.EntryShards;
 import io.sequoiapass.daemon.process.owner.Owner;
 import io.sequoiapass.daemon.process.ownership.OwnershipPeers;
 import io.sequoiapass.daemon.process.settings.PeerAddress;
@@ -34,7 +34,7 @@
   private final DataCentreId dataCentre;
   private final PeerChannel local;
   private final Map<DaemonId, PeerAddress> known = new ConcurrentHashMap<>();
-  private final Entries entries;
+  private final EntryShards entries;
   private final Owner owner;
   private final ControlListener control;
   private final Map<DaemonId, HostId> hosts = new ConcurrentHashMap<>();
@@ -61,7 +61,7 @@
       DaemonId self,
       DataCentreId dataCentre,
       PeerChannel local,
-      Entries entries,
+      EntryShards entries,
       Owner owner,
       ControlListener control) {
     this.self = Objects.requireNonNull(self, "self");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/PlacementByPreset.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/PlacementByPreset.java
@@ -28,7 +28,7 @@
   /** Returns a new placement for one base model. */
   Placement placement() {
     Placement placement = policy.create(PlacementSettings.defaults(), ordinary);
-    placement.weigh(weights(), prefetches());
+    placement.updateWeights(weights(), prefetches());
     return placement;
   }
 
@@ -46,7 +46,7 @@
     // Set before the owner is updated: a placement created in between reads its weights from here.
     preset = current;
     routes.weigh(weights());
-    owner.weigh(weights(), prefetches());
+    owner.updateWeights(weights(), prefetches());
   }
 
   private PlacementWeights weights() {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/PlannedStop.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/PlannedStop.java
@@ -1,7 +1,7 @@
 package io.sequoiapass.daemon.process;
 
 import io.sequoiapass.coordination.MillisClock;
-import io.sequoiapass.daemon.process.entry.Entries;
+import io.sequoiapass.daemon.process.entry.EntryShards;
 import io.sequoiapass.daemon.process.ledger.LedgerNode;
 import io.sequoiapass.daemon.process.log.EventLog;
 import io.sequoiapass.daemon.process.log.LogEvent;
@@ -25,7 +25,7 @@
 
   private final StopSequence sequence;
   private final MillisClock clock;
-  private final Entries entries;
+  private final EntryShards entries;
   private final Owner owner;
   private final OwnershipNode ownership;
   private final LedgerNode ledger;
@@ -35,7 +35,7 @@
   PlannedStop(
       StopSequence sequence,
       MillisClock clock,
-      Entries entries,
+      EntryShards entries,
       Owner owner,
       OwnershipNode ownership,
       LedgerNode ledger,
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/AffinityRoutes.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/AffinityRoutes.java
@@ -83,7 +83,7 @@
     for (EndpointLoad load : loads) {
       hints.put(load.endpoint(), new Hint(load, now));
       synchronized (hotAdapters) {
-        hotAdapters.learn(now, load);
+        hotAdapters.update(now, load);
       }
     }
   }
@@ -127,7 +127,7 @@
     boolean hot = isHot(engine.adapter());
     List<Router.Candidate> candidates =
         topByAffinity(engine, snapshot, hot).stream().map(this::candidate).toList();
-    return router.byHints(engine.adapter(), hot, candidates);
+    return router.applyHints(engine.adapter(), hot, candidates);
   }
 
   /**
@@ -152,8 +152,8 @@
         new RankingKey(target.adapter(), hot),
         key -> {
           List<EndpointId> all = rankByAffinity(target, snapshot, hot);
-          int available = hot ? all.size() : router.ownPlaces(false, all.size());
-          return List.copyOf(all.subList(0, Math.min(Router.CHOICES, available)));
+          int available = hot ? all.size() : router.partitionSize(false, all.size());
+          return List.copyOf(all.subList(0, Math.min(Router.MAX_PRICED_ENDPOINTS, available)));
         });
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/CallerHandler.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/CallerHandler.java
@@ -23,7 +23,7 @@
   private final Supplier<ConfigurationSnapshot> snapshots;
   private final Supplier<Optional<ErrorKind>> closed;
   private final Predicate<Priority> admitted;
-  private final Entries entries;
+  private final EntryShards entries;
 
   /**
    * Creates a handler.
@@ -39,7 +39,7 @@
       Supplier<ConfigurationSnapshot> snapshots,
       Supplier<Optional<ErrorKind>> closed,
       Predicate<Priority> admitted,
-      Entries entries) {
+      EntryShards entries) {
     this.parser = Objects.requireNonNull(parser, "parser");
     this.snapshots = Objects.requireNonNull(snapshots, "snapshots");
     this.closed = Objects.requireNonNull(closed, "closed");
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EndpointResults.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EndpointResults.java
@@ -23,7 +23,7 @@
 
   /** Returns the endpoints that receive no requests because earlier requests failed on them. */
   Set<EndpointId> excluded(long nowMs) {
-    return health.leftOut(nowMs);
+    return health.excluded(nowMs);
   }
 
   /** Returns whether another attempt of the same request is in flight on an endpoint. */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EntryShard.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EntryShard.java
@@ -227,7 +227,7 @@
           new AttemptEvent.Frame(
               new AnswerFrame.Finished(entry.request().id(), attempt, Optional.empty(), 0)));
     } else if (message instanceof PeerMessage.MayStart) {
-      handle(entry, new AttemptEvent.StartAsked(attempt));
+      handle(entry, new AttemptEvent.StartRequested(attempt));
     } else if (message instanceof PeerMessage.Refused refused) {
       handle(entry, refusedEvent(attempt, refused));
     } else if (message instanceof PeerMessage.EndpointLost) {
@@ -241,7 +241,7 @@
     for (String text : tokens.texts()) {
       AnswerFrame.Token token =
           new AnswerFrame.Token(entry.request().id(), tokens.id().attempt(), ranOn, index, text);
-      perform(entry, entry.attempts().on(new AttemptEvent.Frame(token), clock.millis()));
+      perform(entry, entry.attempts().handle(new AttemptEvent.Frame(token), clock.millis()));
       index++;
     }
     flush(entry);
@@ -256,7 +256,7 @@
   }
 
   private void handle(EntryRequest entry, AttemptEvent event) {
-    perform(entry, entry.attempts().on(event, clock.millis()));
+    perform(entry, entry.attempts().handle(event, clock.millis()));
     flush(entry);
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/entry/Entries.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/entry/EntryShards.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** Distributes requests over shards by request id; safe for use by several threads. */
-public final class Entries {
+public final class EntryShards {
 
   private final List<EntryShard> shards;
 
@@ -18,7 +18,7 @@
    *
    * @param shards the shards
    */
-  public Entries(List<EntryShard> shards) {
+  public EntryShards(List<EntryShard> shards) {
     this.shards = List.copyOf(shards);
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/KeyedStart.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/KeyedStart.java
@@ -106,10 +106,10 @@
   }
 
   /** Returns the reply to a replica's query for the state of this request. */
-  LedgerMessage status(LedgerMessage.AskHolder query) {
+  LedgerMessage status(LedgerMessage.QueryHolder query) {
     return isFinishing()
         ? new LedgerMessage.Finish(key, holder, outcome)
-        : new LedgerMessage.StillOpen(key, holder, query.asker());
+        : new LedgerMessage.StillOpen(key, holder, query.requester());
   }
 
   /** Moves on after a confirmed step; returns true if no step is left. */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerLeases.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerLeases.java
@@ -17,5 +17,5 @@
    * @param knownSince when this daemon received the current membership: a lease that was found
    *     expired before then may have been renewed by a daemon that wrote this membership
    */
-  Set<DaemonId> lapsed(Collection<DaemonId> daemons, long knownSince);
+  Set<DaemonId> expired(Collection<DaemonId> daemons, long knownSince);
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerMembers.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerMembers.java
@@ -137,7 +137,7 @@
       }
       List<DaemonId> others =
           members.stream().map(LedgerMember::daemon).filter(d -> !d.equals(self.daemon())).toList();
-      Set<DaemonId> expired = leases.lapsed(others, knownSince);
+      Set<DaemonId> expired = leases.expired(others, knownSince);
       if (!expired.isEmpty()) {
         put(without(expired));
       }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ledger/LedgerNode.java
@@ -6,10 +6,10 @@
 import io.sequoiapass.coordination.RequestId;
 import io.sequoiapass.coordination.request.ErrorKind;
 import io.sequoiapass.coordination.request.Ledger;
-import io.sequoiapass.coordination.request.LedgerHomes;
 import io.sequoiapass.coordination.request.LedgerMember;
 import io.sequoiapass.coordination.request.LedgerMessage;
 import io.sequoiapass.coordination.request.LedgerRecord.Holder;
+import io.sequoiapass.coordination.request.LedgerReplicas;
 import io.sequoiapass.coordination.request.LedgerSend;
 import io.sequoiapass.coordination.request.LedgerSettings;
 import io.sequoiapass.coordination.request.LedgerView;
@@ -58,7 +58,7 @@
   private final Map<Holder, RequestId> requests = new HashMap<>();
   private final Deque<LedgerSend> outbox = new ArrayDeque<>();
   private Ledger ledger;
-  private LedgerHomes replicas;
+  private LedgerReplicas replicas;
   private long appliedVersion = -1;
 
   /**
@@ -89,7 +89,7 @@
     this.peers = Objects.requireNonNull(peers, "peers");
     this.executor = Objects.requireNonNull(executor, "executor");
     this.members = new LedgerMembers(self, clock, platform, leases, this::locked);
-    this.replicas = new LedgerHomes(ranking, Set.of());
+    this.replicas = new LedgerReplicas(ranking, Set.of());
     this.ledger = new Ledger(self, settings, ranking, clock.millis());
   }
 
@@ -134,14 +134,14 @@
     if (members.version() <= appliedVersion) {
       return;
     }
-    LedgerHomes next = new LedgerHomes(ranking, members.members());
+    LedgerReplicas next = new LedgerReplicas(ranking, members.members());
     if (!next.equals(replicas)) {
       replicas = next;
       starts.values().forEach(start -> start.primaryChanged(now));
     }
     if (members.isMember()) {
       if (members.createdMembership() && firstInstall) {
-        ledger.nothingBefore();
+        ledger.assumeNoEarlierRecords();
       }
       appliedVersion = members.version();
       outbox.addAll(ledger.membersChanged(new LedgerView(appliedVersion, members.members()), now));
@@ -152,7 +152,7 @@
     long now = clock.millis();
     if (message instanceof LedgerMessage.Answer answer) {
       handleAnswer(answer, now);
-    } else if (message instanceof LedgerMessage.AskHolder query) {
+    } else if (message instanceof LedgerMessage.QueryHolder query) {
       handleQuery(from, query);
     } else {
       outbox.addAll(ledger.receive(from, message, now));
@@ -216,12 +216,12 @@
     } else if (start.isDue(now)) {
       LedgerMessage message = start.message(now);
       replicas
-          .home(start.key())
+          .primary(start.key())
           .ifPresent(primary -> outbox.add(new LedgerSend(primary.daemon(), message)));
     }
   }
 
-  private void handleQuery(DaemonId replica, LedgerMessage.AskHolder query) {
+  private void handleQuery(DaemonId replica, LedgerMessage.QueryHolder query) {
     Optional<KeyedStart> start = start(query.holder());
     if (start.isPresent()) {
       outbox.add(new LedgerSend(replica, start.get().status(query)));
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/EngineAdmission.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/EngineAdmission.java
@@ -52,7 +52,7 @@
   void apply(Preset preset) {
     ordinary.ifPresent(
         settings -> {
-          AdmissionSettings limits = settings.bounded(preset::queueBound);
+          AdmissionSettings limits = settings.mapBounds(preset::queueBound);
           queue.apply(limits);
           maxInPlacement = limits.maxQueued();
         });
@@ -90,8 +90,8 @@
   }
 
   /** Dequeues the next attempt, and those that are too late. */
-  AdmissionQueue.Turn next(long nowMs) {
-    AdmissionQueue.Turn turn = queue.poll(nowMs);
+  AdmissionQueue.PollResult next(long nowMs) {
+    AdmissionQueue.PollResult turn = queue.poll(nowMs);
     turn.refused().forEach(refusal -> waiting.remove(refusal.ticket().request()));
     turn.next()
         .ifPresent(
@@ -123,14 +123,14 @@
 
   /** Records that an attempt received its complete answer. */
   void completed(Execution execution, long nowMs) {
-    if (execution.place() != null) {
+    if (execution.assignment() != null) {
       queue.finished(costOf(execution.completion()), execution.ranMs(nowMs));
     }
   }
 
   /** Records that an attempt was abandoned while it ran. */
   void abandoned(Execution execution, long nowMs) {
-    if (execution.place() != null) {
+    if (execution.assignment() != null) {
       queue.abandoned(costOf(execution.completion()), execution.ranMs(nowMs));
     }
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/EngineRuns.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/EngineRuns.java
@@ -36,7 +36,7 @@
     if (!execution.end()) {
       return;
     }
-    execution.dropStream();
+    execution.cancelStream();
     EngineMonitor monitor = shard.monitor(execution.endpoint());
     if (monitor == null) {
       shard.remove(execution);
@@ -61,11 +61,11 @@
     EngineMonitor monitor = shard.monitor(start.endpoint());
     if (monitor == null) {
       shard.finish(execution);
-      execution.refuse(ErrorKind.DRAINING, false, 0);
+      execution.sendRefused(ErrorKind.DRAINING, false, 0);
       return;
     }
     long now = clock.millis();
-    execution.running(now);
+    execution.markRunning(now);
     Completion work = execution.completion();
     observer.started(execution.id(), work.adapter(), start.endpoint(), execution.waitedMs());
     EngineRun run = execution.run(start.handle());
@@ -77,7 +77,7 @@
   }
 
   void attach(Execution execution, EngineMonitor monitor) {
-    execution.running(clock.millis());
+    execution.markRunning(clock.millis());
     resume(execution, monitor, execution.completion().resumeFrom(), 0);
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/HeldRequests.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/HeldRequests.java
@@ -33,7 +33,8 @@
 
   /** Removes and returns the attempts whose deadline has passed. */
   List<Execution> takeExpired(long nowMs) {
-    List<Execution> expired = held.stream().filter(execution -> execution.isLate(nowMs)).toList();
+    List<Execution> expired =
+        held.stream().filter(execution -> execution.isDeadlinePassed(nowMs)).toList();
     expired.forEach(held::remove);
     return expired;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/Owner.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/Owner.java
@@ -50,7 +50,7 @@
    *
    * @param endpoints all endpoints that this daemon owns
    */
-  public synchronized void owns(Collection<EndpointRecord> endpoints) {
+  public synchronized void updateOwned(Collection<EndpointRecord> endpoints) {
     Map<EndpointId, EndpointRecord> wanted = new HashMap<>();
     endpoints.forEach(endpoint -> wanted.put(endpoint.id(), endpoint));
     for (EndpointRecord known : Map.copyOf(owned).values()) {
@@ -71,7 +71,7 @@
    *
    * @param handingOver the endpoints
    */
-  public synchronized void pauses(Set<EndpointId> handingOver) {
+  public synchronized void updateHandovers(Set<EndpointId> handingOver) {
     for (EndpointRecord endpoint : owned.values()) {
       if (endpoint.type() == EndpointType.ENGINE) {
         shard(endpoint).pause(endpoint.id(), handingOver.contains(endpoint.id()));
@@ -118,8 +118,8 @@
    * @param weights the new weights
    * @param prefetches whether adapters that no request waits for may be loaded
    */
-  public synchronized void weigh(PlacementWeights weights, boolean prefetches) {
-    shards.values().forEach(shard -> shard.weigh(weights, prefetches));
+  public synchronized void updateWeights(PlacementWeights weights, boolean prefetches) {
+    shards.values().forEach(shard -> shard.updateWeights(weights, prefetches));
   }
 
   /** Advances the time; to be called every 10 to 50 ms. */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/OwnerShard.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/OwnerShard.java
@@ -180,7 +180,7 @@
     for (Execution execution : queuedFor(endpoint)) {
       withdraw(execution);
       remove(execution);
-      execution.refuse(ErrorKind.DRAINING, false, 0);
+      execution.sendRefused(ErrorKind.DRAINING, false, 0);
     }
   }
 
@@ -201,7 +201,7 @@
   private void refuseHeld(List<Execution> refused, ErrorKind kind) {
     for (Execution execution : refused) {
       remove(execution);
-      execution.refuse(kind, false, 0);
+      execution.sendRefused(kind, false, 0);
     }
   }
 
@@ -221,7 +221,7 @@
           if (monitor == null) {
             // The ownership tables of the entry and this daemon differ briefly around each
             // handover.
-            execution.refuse(ErrorKind.DRAINING, false, 0);
+            execution.sendRefused(ErrorKind.DRAINING, false, 0);
             return;
           }
           if (executions.putIfAbsent(AttemptKeys.of(forward.id()), execution) != null) {
@@ -258,7 +258,7 @@
   /** Passes waiting attempts to the placement while it has stream capacity. */
   private void admitWaiting() {
     while (admission.canAdmit() && placement.freeStreams() > 0) {
-      AdmissionQueue.Turn turn = admission.next(clock.millis());
+      AdmissionQueue.PollResult turn = admission.next(clock.millis());
       turn.refused().forEach(this::refuse);
       turn.next()
           .map(ticket -> executions.get(ticket.request()))
@@ -270,8 +270,8 @@
     Execution execution = executions.get(refusal.ticket().request());
     remove(execution);
     Outcome.NotRun outcome = refusal.outcome();
-    observer.overloaded(execution.id(), outcome.kind(), execution.agedMs(clock.millis()));
-    execution.refuse(outcome.kind(), false, outcome.comeBackMillis().orElse(0));
+    observer.overloaded(execution.id(), outcome.kind(), execution.ageMs(clock.millis()));
+    execution.sendRefused(outcome.kind(), false, outcome.comeBackMillis().orElse(0));
   }
 
   private void submitToPlacement(Execution execution) {
@@ -299,11 +299,11 @@
     locked(
         () -> {
           Execution execution = executions.get(AttemptKeys.of(answer.id()));
-          if (execution == null || execution.stage() != Execution.Stage.ASKING) {
+          if (execution == null || execution.stage() != Execution.Stage.AWAITING_GRANT) {
             return;
           }
           if (answer.granted()) {
-            runs.write(execution, execution.place());
+            runs.write(execution, execution.assignment());
           } else {
             finish(execution);
           }
@@ -371,7 +371,7 @@
         withdraw(execution);
         remove(execution);
       }
-      case ASKING -> finish(execution);
+      case AWAITING_GRANT -> finish(execution);
       case RUNNING -> {
         admission.abandoned(execution, clock.millis());
         runs.cancel(execution);
@@ -388,8 +388,8 @@
    * @param weights the new weights
    * @param prefetches whether adapters that no request waits for may be loaded
    */
-  void weigh(PlacementWeights weights, boolean prefetches) {
-    locked(() -> placement.weigh(weights, prefetches));
+  void updateWeights(PlacementWeights weights, boolean prefetches) {
+    locked(() -> placement.updateWeights(weights, prefetches));
   }
 
   // Placement decisions.
@@ -425,13 +425,13 @@
       perform(placement.requestFinished(clock.millis(), start.request()));
       return;
     }
-    execution.place(start);
+    execution.assign(start);
     admission.placed(start.request());
     if (!start.endpoint().equals(execution.forward().endpoint())) {
       execution.replies().send(new PeerMessage.Started(execution.id(), start.endpoint()));
     }
     if (execution.forward().atMostOnce()) {
-      execution.asking();
+      execution.markAwaitingGrant();
       execution.replies().send(new PeerMessage.MayStart(execution.id()));
     } else {
       runs.write(execution, start);
@@ -442,7 +442,7 @@
     Execution execution = executions.get(refuse.request());
     if (execution != null) {
       remove(execution);
-      execution.refuse(Refusals.kindOf(refuse.reason()), false, refuse.retryAfterMs());
+      execution.sendRefused(Refusals.kindOf(refuse.reason()), false, refuse.retryAfterMs());
     }
   }
 
@@ -535,7 +535,7 @@
   void complete(Execution execution, AdapterVersion ranOn, int tokens) {
     admission.completed(execution, clock.millis());
     finish(execution);
-    execution.whole(ranOn, tokens, placement.loads());
+    execution.sendFinished(ranOn, tokens, placement.loads());
   }
 
   /** Ends an attempt whose stream capacity is free. */
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/RunEndListener.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/RunEndListener.java
@@ -11,7 +11,7 @@
  *
  * <p>Called on event loops; takes the shard's lock.
  */
-final class RunEndListener implements EngineRelay.End {
+final class RunEndListener implements EngineRelay.EndListener {
 
   /**
    * Two attempts: the second covers a connection that is cut just when the first one has opened.
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public void whole(AdapterVersion ranOn, int tokens) {
+  public void completed(AdapterVersion ranOn, int tokens) {
     shard.locked(() -> shard.complete(execution, ranOn, tokens));
   }
 
@@ -47,9 +47,9 @@
           }
           shard.finish(execution);
           if (refusal == EngineRefusal.NO_SUCH_STREAM) {
-            execution.lost();
+            execution.sendEndpointLost();
           } else {
-            execution.refuse(Refusals.kindOf(refusal), true, 0);
+            execution.sendRefused(Refusals.kindOf(refusal), true, 0);
           }
           if (refusal == EngineRefusal.NOT_LOADED) {
             monitor.schedulePoll();
@@ -67,13 +67,13 @@
           if (!mayHaveReached) {
             monitor.schedulePoll();
             shard.finish(execution);
-            execution.refuse(ErrorKind.ENDPOINT_LOST_BEFORE_START, false, 0);
+            execution.sendRefused(ErrorKind.ENDPOINT_LOST_BEFORE_START, false, 0);
           } else if (resumable && resumes < MAX_RESUMES) {
             runs.resume(execution, monitor, next, resumes + 1);
           } else {
             monitor.schedulePoll();
             shard.finish(execution);
-            execution.lost();
+            execution.sendEndpointLost();
           }
         });
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/ServiceEndpoint.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/ServiceEndpoint.java
@@ -54,7 +54,7 @@
   }
 
   void apply(Preset preset) {
-    queue.apply(ordinary.bounded(preset::queueBound));
+    queue.apply(ordinary.mapBounds(preset::queueBound));
   }
 
   /** Sets whether the endpoint is leaving; nothing new starts on it then. */
@@ -96,8 +96,8 @@
   }
 
   /** Dequeues the next attempt, and those that are too late. */
-  AdmissionQueue.Turn next(long nowMs) {
-    AdmissionQueue.Turn turn = queue.poll(nowMs);
+  AdmissionQueue.PollResult next(long nowMs) {
+    AdmissionQueue.PollResult turn = queue.poll(nowMs);
     turn.refused().forEach(refusal -> waiting.remove(refusal.ticket().request()));
     turn.next().ifPresent(ticket -> waiting.remove(ticket.request()));
     return turn;
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/owner/ServicePool.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/owner/ServicePool.java
@@ -165,7 +165,7 @@
           if (endpoint == null || endpoint.isLeaving()) {
             // The ownership tables of the entry and this daemon differ briefly around each
             // handover.
-            execution.refuse(ErrorKind.DRAINING, false, 0);
+            execution.sendRefused(ErrorKind.DRAINING, false, 0);
           } else if (executions.putIfAbsent(AttemptKeys.of(forward.id()), execution) == null) {
             startOrEnqueue(execution, endpoint);
           }
@@ -186,7 +186,7 @@
   /** Starts waiting attempts while the endpoint has capacity. */
   private void startWaiting(ServiceEndpoint endpoint) {
     while (endpoint.canStart()) {
-      AdmissionQueue.Turn turn = endpoint.next(clock.millis());
+      AdmissionQueue.PollResult turn = endpoint.next(clock.millis());
       turn.refused().forEach(this::refuse);
       turn.next()
           .map(ticket -> executions.get(ticket.request()))
@@ -197,19 +197,19 @@
   private void refuse(AdmissionQueue.Refusal refusal) {
     Execution execution = executions.get(refusal.ticket().request());
     Outcome.NotRun outcome = refusal.outcome();
-    observer.overloaded(execution.id(), outcome.kind(), execution.agedMs(clock.millis()));
+    observer.overloaded(execution.id(), outcome.kind(), execution.ageMs(clock.millis()));
     refuse(execution, outcome.kind(), outcome.comeBackMillis().orElse(0));
   }
 
   private void refuse(Execution execution, ErrorKind kind, long retryAfterMs) {
     remove(execution);
-    execution.refuse(kind, false, retryAfterMs);
+    execution.sendRefused(kind, false, retryAfterMs);
   }
 
   private void begin(Execution execution, ServiceEndpoint endpoint) {
     endpoint.callStarted();
     if (execution.forward().atMostOnce()) {
-      execution.asking();
+      execution.markAwaitingGrant();
       execution.replies().send(new PeerMessage.MayStart(execution.id()));
     } else {
       write(execution, endpoint);
@@ -225,7 +225,7 @@
     locked(
         () -> {
           Execution execution = executions.get(AttemptKeys.of(answer.id()));
-          if (execution == null || execution.stage() != Execution.Stage.ASKING) {
+          if (execution == null || execution.stage() != Execution.Stage.AWAITING_GRANT) {
             return;
           }
           ServiceEndpoint endpoint = endpoints.get(execution.forward().endpoint());
@@ -270,12 +270,12 @@
 
   private static boolean isUnwritten(Execution execution) {
     return execution.stage() == Execution.Stage.QUEUED
-        || execution.stage() == Execution.Stage.ASKING;
+        || execution.stage() == Execution.Stage.AWAITING_GRANT;
   }
 
   private void write(Execution execution, ServiceEndpoint endpoint) {
     long now = clock.millis();
-    execution.running(now);
+    execution.markRunning(now);
     ServiceCall work = (ServiceCall) execution.forward().work();
     HttpCall call =
         HttpCall.to(endpoint.address(), work.method(), work.path())
@@ -294,7 +294,7 @@
     updateLimit(execution, refused, failure);
     remove(execution);
     if (refused) {
-      execution.refuse(ErrorKind.OVERLOADED, true, 0);
+      execution.sendRefused(ErrorKind.OVERLOADED, true, 0);
     } else if (failure == null) {
       String contentType = answer.headers().get("Content-Type", "application/octet-stream");
       execution
@@ -303,9 +303,9 @@
               new PeerMessage.ServiceAnswer(
                   execution.id(), answer.status(), contentType, answer.body()));
     } else if (wasNotSent(failure)) {
-      execution.refuse(ErrorKind.ENDPOINT_LOST_BEFORE_START, false, 0);
+      execution.sendRefused(ErrorKind.ENDPOINT_LOST_BEFORE_START, false, 0);
     } else {
-      execution.lost();
+      execution.sendEndpointLost();
     }
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/Heartbeats.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/Heartbeats.java
@@ -65,7 +65,7 @@
   Optional<MembershipChange> received(long now, DaemonId peer, PeerMessage.Heartbeat beat) {
     MemberState reported = beat.draining() ? MemberState.DRAINING : MemberState.ALIVE;
     decisions.leaseManager().peerReported(peer, beat.platform());
-    decisions.observer().heartbeatCarried(now, peer, beat.platform().leaseVersion());
+    decisions.observer().leaseVersionReceived(now, peer, beat.platform().leaseVersion());
     echoes.merge(peer, beat.sentMs(), Math::max);
     return decisions.membership().heartbeatReceived(now, peer, beat.incarnation(), reported);
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipDecisions.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipDecisions.java
@@ -3,19 +3,19 @@
 import io.sequoiapass.coordination.DaemonId;
 import io.sequoiapass.coordination.DataCentreId;
 import io.sequoiapass.coordination.EndpointId;
+import io.sequoiapass.coordination.process.BackupOwnerSelector;
 import io.sequoiapass.coordination.process.Candidate;
-import io.sequoiapass.coordination.process.DeputyRule;
 import io.sequoiapass.coordination.process.FencePolicy;
-import io.sequoiapass.coordination.process.LeaseKeeper;
+import io.sequoiapass.coordination.process.LeaseManager;
 import io.sequoiapass.coordination.process.LeaseObserver;
-import io.sequoiapass.coordination.process.LeaseStanding;
+import io.sequoiapass.coordination.process.LeaseStatus;
 import io.sequoiapass.coordination.process.Membership;
 import io.sequoiapass.coordination.process.OrderKind;
 import io.sequoiapass.coordination.process.OwnershipPlanner;
 import io.sequoiapass.coordination.process.OwnershipProposal;
 import io.sequoiapass.coordination.process.OwnershipSettings;
 import io.sequoiapass.coordination.process.OwnershipTable;
-import io.sequoiapass.coordination.process.PlatformContact;
+import io.sequoiapass.coordination.process.PlatformConnectivity;
 import io.sequoiapass.coordination.process.ServingRole;
 import io.sequoiapass.coordination.version.ConfigurationObject.EndpointRecord;
 import io.sequoiapass.coordination.version.ConfigurationSnapshot;
@@ -41,12 +41,12 @@
 
   private final DaemonId self;
   private final DataCentreId dataCentre;
-  private final PlatformContact connectivity;
+  private final PlatformConnectivity connectivity;
   private final Membership membership;
   private final LeaseObserver observer;
-  private final LeaseKeeper leaseManager;
+  private final LeaseManager leaseManager;
   private final OwnershipPlanner planner;
-  private final DeputyRule backupOwners;
+  private final BackupOwnerSelector backupOwners;
   private ConfigurationSnapshot lastSnapshot;
   private List<EndpointRecord> records = List.of();
   private Set<EndpointId> endpoints = Set.of();
@@ -59,11 +59,11 @@
       DaemonIdentity identity, OwnershipTimes times, SplittableRandom random, long now) {
     this.self = identity.daemon();
     this.dataCentre = identity.dataCentre();
-    this.connectivity = PlatformContact.create(times.lease(), now);
+    this.connectivity = PlatformConnectivity.create(times.lease(), now);
     this.membership = Membership.create(times.membership(), now);
     this.observer = LeaseObserver.create(times.lease(), connectivity);
     this.leaseManager =
-        LeaseKeeper.create(
+        LeaseManager.create(
             times.lease(),
             self,
             identity.peerAddress(),
@@ -74,10 +74,10 @@
     this.planner =
         OwnershipPlanner.create(
             OwnershipSettings.DEFAULT, dataCentre, self, observer, random.split());
-    this.backupOwners = DeputyRule.create(self);
+    this.backupOwners = BackupOwnerSelector.create(self);
   }
 
-  PlatformContact connectivity() {
+  PlatformConnectivity connectivity() {
     return connectivity;
   }
 
@@ -89,7 +89,7 @@
     return observer;
   }
 
-  LeaseKeeper leaseManager() {
+  LeaseManager leaseManager() {
     return leaseManager;
   }
 
@@ -111,7 +111,7 @@
     }
     endpoints = ids;
     fencePolicies = policies;
-    planner.endpointsAre(ids);
+    planner.setEndpoints(ids);
   }
 
   /** Returns the daemons that may be assigned endpoints. */
@@ -136,7 +136,7 @@
    */
   Optional<OwnershipProposal> proposal(long now, boolean plannedMoves, boolean draining) {
     Optional<OwnershipProposal> found = planner.retry(now);
-    if (found.isEmpty() && (leaseManager.needsTable(now) || planner.needsConfirmation())) {
+    if (found.isEmpty() && (leaseManager.needsNewerTable(now) || planner.needsConfirmation())) {
       found = planner.confirm(now);
     }
     if (found.isEmpty()) {
@@ -153,7 +153,8 @@
 
   /** Returns the daemon that accepts requests for an endpoint of this data centre. */
   Optional<DaemonId> servingDaemon(long now, EndpointId endpoint) {
-    return backupOwners.server(endpoint, planner.table(), membership, connectivity.isOut(now));
+    return backupOwners.servingDaemon(
+        endpoint, planner.table(), membership, connectivity.isOut(now));
   }
 
   /**
@@ -191,7 +192,7 @@
 
   /** Returns the endpoints on which no new request may start. */
   Set<EndpointId> handingOver(long now) {
-    if (leaseManager.standing(now) == LeaseStanding.SUPERSEDED) {
+    if (leaseManager.status(now) == LeaseStatus.SUPERSEDED) {
       return planner.table().ownedBy(self);
     }
     Set<EndpointId> paused = planner.handingOver();
@@ -204,7 +205,7 @@
     // A lease that was renewed late is sufficient here: the ledger's own write confirms it, as the
     // write of the ownership table does for orders.
     boolean held =
-        EnumSet.of(LeaseStanding.VALID, LeaseStanding.LAPSED).contains(leaseManager.standing(now))
+        EnumSet.of(LeaseStatus.VALID, LeaseStatus.LAPSED).contains(leaseManager.status(now))
             && leaseManager.remainingMillis(now) > 0;
     return held ? now + leaseManager.remainingMillis(now) : Long.MIN_VALUE;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipListener.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipListener.java
@@ -2,7 +2,7 @@
 
 import io.sequoiapass.coordination.DaemonId;
 import io.sequoiapass.coordination.DataCentreId;
-import io.sequoiapass.coordination.process.LeaseStanding;
+import io.sequoiapass.coordination.process.LeaseStatus;
 import io.sequoiapass.coordination.process.MembershipChange;
 import io.sequoiapass.coordination.process.OwnershipTable;
 
@@ -17,7 +17,7 @@
    *
    * @param status the new status
    */
-  void leaseStands(LeaseStanding status);
+  void leaseStatusChanged(LeaseStatus status);
 
   /**
    * Called when a newer ownership table has been received or written.
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipNode.java
@@ -7,16 +7,16 @@
 import io.sequoiapass.coordination.MillisClock;
 import io.sequoiapass.coordination.OperationId;
 import io.sequoiapass.coordination.process.LeaseAction;
-import io.sequoiapass.coordination.process.LeaseKeeper;
+import io.sequoiapass.coordination.process.LeaseManager;
 import io.sequoiapass.coordination.process.LeaseObserver;
-import io.sequoiapass.coordination.process.LeaseStanding;
+import io.sequoiapass.coordination.process.LeaseStatus;
 import io.sequoiapass.coordination.process.MemberState;
 import io.sequoiapass.coordination.process.Membership;
 import io.sequoiapass.coordination.process.MembershipChange;
 import io.sequoiapass.coordination.process.OrderKind;
 import io.sequoiapass.coordination.process.OwnershipPlanner;
 import io.sequoiapass.coordination.process.OwnershipProposal;
-import io.sequoiapass.coordination.process.PlatformContact;
+import io.sequoiapass.coordination.process.PlatformConnectivity;
 import io.sequoiapass.coordination.version.ConfigurationObject.EndpointRecord;
 import io.sequoiapass.coordination.version.ConfigurationSnapshot;
 import io.sequoiapass.coordination.version.WriteAnswer;
@@ -40,7 +40,7 @@
  * Maintains this daemon's lease, its membership view and its replica of the data centre's ownership
  * table.
  *
- * <p>The decisions are made by {@link LeaseKeeper}, {@link Membership}, {@link LeaseObserver} and
+ * <p>The decisions are made by {@link LeaseManager}, {@link Membership}, {@link LeaseObserver} and
  * {@link OwnershipPlanner}; this class performs their messaging and platform calls. Safe for use by
  * several threads: one lock guards all decision objects, and no thread waits for a call while
  * holding it.
@@ -56,15 +56,15 @@
   private final OwnershipListener listener;
   private final OwnershipDecisions decisions;
   private final OwnershipTables tables;
-  private final PlatformContact connectivity;
+  private final PlatformConnectivity connectivity;
   private final Membership membership;
   private final LeaseObserver observer;
-  private final LeaseKeeper leaseManager;
+  private final LeaseManager leaseManager;
   private final OwnershipPlanner planner;
   private final Relays relays;
   private final Heartbeats heartbeats;
   private final OwnershipCalls calls;
-  private LeaseStanding lastStatus = LeaseStanding.NOT_HELD;
+  private LeaseStatus lastStatus = LeaseStatus.NOT_HELD;
   private long nextTableReadAt = Long.MIN_VALUE;
   private boolean tableReadInFlight;
   private boolean draining;
@@ -134,15 +134,15 @@
         () -> {
           long now = clock.millis();
           decisions.updateEndpoints(snapshot);
-          leaseManager.dataCentreIs(new TreeSet<>(peers.neighbours()));
+          leaseManager.setMembers(new TreeSet<>(peers.neighbours()));
           leaseManager.tick(now).ifPresent(this::sendLeaseCall);
           completeRenewalBeforeRelease();
-          peers.neighbours().forEach(peer -> membership.learned(now, peer, peers.hint(peer)));
+          peers.neighbours().forEach(peer -> membership.addPeer(now, peer, peers.hint(peer)));
           membership.tick(now).forEach(this::memberChanged);
-          membership.overdue(now).forEach(observer::fellSilent);
+          membership.overdue(now).forEach(observer::heartbeatMissed);
           readTable(now);
-          leaseManager.tableSeen(planner.table().version());
-          planner.candidatesAre(now, leaseManager.incarnation(), decisions.candidates(now));
+          leaseManager.tableVersionReceived(planner.table().version());
+          planner.setCandidates(now, leaseManager.incarnation(), decisions.candidates(now));
           planner.leasesToCheck(now).forEach(this::readLease);
           decisions
               .proposal(now, plannedMoves && platformReachable, draining && platformReachable)
@@ -153,10 +153,10 @@
   }
 
   private void announce() {
-    LeaseStanding status = leaseManager.standing(clock.millis());
+    LeaseStatus status = leaseManager.status(clock.millis());
     if (status != lastStatus) {
       lastStatus = status;
-      listener.leaseStands(status);
+      listener.leaseStatusChanged(status);
     }
     tables.update(planner.table());
   }
@@ -164,7 +164,7 @@
   private void memberChanged(MembershipChange change) {
     listener.memberChanged(change);
     if (change.to() == MemberState.SUSPECT) {
-      observer.fellSilent(change.daemon());
+      observer.heartbeatMissed(change.daemon());
     }
     if (change.to() == MemberState.DEAD) {
       listener.peerDead(change.daemon());
@@ -201,7 +201,7 @@
                       platformReachable = failure == null;
                       if (failure == null) {
                         connectivity.succeeded(clock.millis());
-                        planner.tableSeen(clock.millis(), table);
+                        planner.tableReceived(clock.millis(), table);
                         announce();
                       }
                     }));
@@ -234,7 +234,7 @@
     if (platformReachable) {
       connectivity.succeeded(clock.millis());
     }
-    planner.answered(clock.millis(), operation, answer);
+    planner.writeAnswered(clock.millis(), operation, answer);
     tables.update(planner.table()).ifPresent(tables::broadcast);
     if (answer instanceof WriteAnswer.Conflict) {
       nextTableReadAt = Long.MIN_VALUE;
@@ -298,7 +298,7 @@
     // Skipped until a table has been received, since the planner would take an empty table for the
     // platform's.
     if (newer) {
-      planner.tableSeen(clock.millis(), tables.of(dataCentre));
+      planner.tableReceived(clock.millis(), tables.of(dataCentre));
     }
   }
 
@@ -310,7 +310,7 @@
    *
    * @param endpoint the endpoint
    */
-  public Optional<DaemonId> server(EndpointRecord endpoint) {
+  public Optional<DaemonId> servingDaemon(EndpointRecord endpoint) {
     if (!endpoint.dataCentre().equals(dataCentre)) {
       return tables.of(endpoint.dataCentre()).owner(endpoint.id());
     }
@@ -335,7 +335,7 @@
 
   @Override
   public boolean mayOthersServe() {
-    return supplyLocked(() -> !membership.isEveryoneHeard());
+    return supplyLocked(() -> !membership.isEveryPeerReachable());
   }
 
   /**
@@ -368,8 +368,8 @@
   }
 
   /** Returns the status of this daemon's lease. */
-  public LeaseStanding standing() {
-    return supplyLocked(() -> leaseManager.standing(clock.millis()));
+  public LeaseStatus leaseStatus() {
+    return supplyLocked(() -> leaseManager.status(clock.millis()));
   }
 
   @Override
@@ -378,14 +378,14 @@
   }
 
   @Override
-  public Set<DaemonId> lapsed(Collection<DaemonId> daemons, long knownSince) {
+  public Set<DaemonId> expired(Collection<DaemonId> daemons, long knownSince) {
     lock.lock();
     try {
       long now = clock.millis();
       List<DaemonId> neighbours = daemons.stream().filter(peers::isNeighbour).toList();
-      observer.toCheck(now, neighbours, 0).forEach(this::readLease);
+      observer.leasesToCheck(now, neighbours, 0).forEach(this::readLease);
       Set<DaemonId> expired = new TreeSet<>(neighbours);
-      expired.removeIf(daemon -> !observer.hasLapsed(now, daemon, knownSince));
+      expired.removeIf(daemon -> !observer.hasExpired(now, daemon, knownSince));
       return expired;
     } finally {
       lock.unlock();
@@ -434,7 +434,7 @@
    * and the lease would not be deleted.
    */
   private void completeRenewalBeforeRelease() {
-    if (renewalBeforeRelease != null && !leaseManager.isRenewalOpen()) {
+    if (renewalBeforeRelease != null && !leaseManager.isRenewalInFlight()) {
       renewalBeforeRelease.complete(null);
     }
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipTables.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/OwnershipTables.java
@@ -74,7 +74,7 @@
 
   /** Records the version that a peer holds of its data centre's table. */
   void peerVersionReceived(DaemonId peer, long version) {
-    replica(peers.dataCentreOf(peer)).versionSeen(peer, version);
+    replica(peers.dataCentreOf(peer)).peerVersionReceived(peer, version);
   }
 
   /** Requests missing changes from peers. */
@@ -82,7 +82,7 @@
     replicas.forEach(
         (tableDataCentre, replica) ->
             replica
-                .ask(now, peers.daemonsOf(tableDataCentre))
+                .selectPeer(now, peers.daemonsOf(tableDataCentre))
                 .ifPresent(
                     peer ->
                         peers.send(peer, new PeerMessage.TableRequest(replica.table().version()))));
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/Relays.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ownership/Relays.java
@@ -6,7 +6,7 @@
 import io.sequoiapass.coordination.MillisClock;
 import io.sequoiapass.coordination.OperationId;
 import io.sequoiapass.coordination.process.LeaseAction;
-import io.sequoiapass.coordination.process.LeaseKeeper;
+import io.sequoiapass.coordination.process.LeaseManager;
 import io.sequoiapass.coordination.process.StoredLease;
 import io.sequoiapass.coordination.version.WriteAnswer;
 import io.sequoiapass.daemon.connection.peer.PeerMessage;
@@ -45,7 +45,7 @@
   /** Delivers an answer to the lease manager, under the lock that guards it. */
   @FunctionalInterface
   interface AnswerDelivery {
-    void accept(Consumer<LeaseKeeper> answer);
+    void accept(Consumer<LeaseManager> answer);
   }
 
   Relays(PlatformClient platform, OwnershipPeers peers, MillisClock clock) {
@@ -76,11 +76,11 @@
     }
   }
 
-  private void renewed(LeaseKeeper leaseManager, LeaseAction.Renew renew, WriteAnswer answer) {
+  private void renewed(LeaseManager leaseManager, LeaseAction.Renew renew, WriteAnswer answer) {
     leaseManager.renewalAnswered(clock.millis(), renew.operation(), answer);
   }
 
-  private void read(LeaseKeeper leaseManager, Optional<StoredObject> stored) {
+  private void read(LeaseManager leaseManager, Optional<StoredObject> stored) {
     if (stored == null) {
       leaseManager.readFailed(clock.millis());
     } else {
@@ -107,7 +107,7 @@
   }
 
   private void relayed(
-      LeaseKeeper leaseManager, LeaseAction action, PeerMessage.RelayAnswer answer) {
+      LeaseManager leaseManager, LeaseAction action, PeerMessage.RelayAnswer answer) {
     if (action instanceof LeaseAction.Renew renew) {
       renewed(leaseManager, renew, writeAnswer(answer));
     } else if (answer.result() == RelayResult.READ) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/AdaptivePlacement.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/AdaptivePlacement.java
@@ -207,7 +207,7 @@
    * Returns the number of loads that this owner has in progress, for its reports to the other
    * owners.
    */
-  public int loadsUnderWay() {
+  public int loadsInProgress() {
     return limiter.inProgress();
   }
 
@@ -217,12 +217,12 @@
    * @param nowMs the time
    * @param loads the sum over the other owners that share the weight store
    */
-  public void otherLoads(long nowMs, int loads) {
+  public void recordOtherLoads(long nowMs, int loads) {
     limiter.recordOtherLoads(nowMs, loads);
   }
 
   @Override
-  public void weigh(PlacementWeights newWeights, boolean prefetches) {
+  public void updateWeights(PlacementWeights newWeights, boolean prefetches) {
     weights = newWeights;
     prefetchEnabled = prefetches;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/HotAdapters.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/HotAdapters.java
@@ -8,7 +8,7 @@
  * Set of hot adapters, as reported by their owners in load hints.
  *
  * <pre>{@code
- * hot.learn(clock.millis(), hint);
+ * hot.update(clock.millis(), hint);
  * router.rank(adapter, 1, hot.contains(clock.millis(), adapter), candidates);
  * }</pre>
  *
@@ -35,7 +35,7 @@
   }
 
   /** Adds the hot adapters of an owner's hint and removes expired ones. */
-  public void learn(long nowMs, EndpointLoad load) {
+  public void update(long nowMs, EndpointLoad load) {
     untilMs.values().removeIf(until -> until <= nowMs);
     for (AdapterVersion adapter : load.hot()) {
       untilMs.put(adapter, nowMs + keepMs);
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Placement.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Placement.java
@@ -58,7 +58,7 @@
    * @param weights the new weights
    * @param prefetches whether adapters that no request waits for may be loaded
    */
-  default void weigh(PlacementWeights weights, boolean prefetches) {}
+  default void updateWeights(PlacementWeights weights, boolean prefetches) {}
 
   /**
    * Returns how many more requests could run if their adapters were loaded. Without an endpoint
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Router.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/placement/Router.java
@@ -55,7 +55,7 @@
    * a slot of low demand is among them, and few enough that an evicted adapter returns to where its
    * demand is recorded.
    */
-  public static final int CHOICES = 8;
+  public static final int MAX_PRICED_ENDPOINTS = 8;
 
   /**
    * Addition to the price for each request queued at the owner, where loads wait for each other.
@@ -142,7 +142,7 @@
             .thenComparing(r -> hot && !r.inPartition())
             .thenComparing(r -> !r.holds()));
     List<Candidate> ordered = ranked.stream().map(Ranked::candidate).toList();
-    return (hot ? ordered : byPrice(adapter, ordered, ownPlaces(false, ordered.size())))
+    return (hot ? ordered : byPrice(adapter, ordered, partitionSize(false, ordered.size())))
         .stream().map(Candidate::endpoint).toList();
   }
 
@@ -153,7 +153,7 @@
    * @param hot true for hot adapters, false for the others
    * @param candidates endpoints of the model
    */
-  public int ownPlaces(boolean hot, int candidates) {
+  public int partitionSize(boolean hot, int candidates) {
     int dense = denseCount(candidates);
     return hot ? dense : candidates - dense;
   }
@@ -162,7 +162,7 @@
    * Sorts the first endpoints by price if no endpoint with capacity is known to hold the adapter.
    */
   private List<Candidate> byPrice(AdapterVersion adapter, List<Candidate> ordered, int limit) {
-    int count = Math.min(CHOICES, Math.min(limit, ordered.size()));
+    int count = Math.min(MAX_PRICED_ENDPOINTS, Math.min(limit, ordered.size()));
     List<Candidate> choices = ordered.subList(0, count);
     long priced = choices.stream().filter(this::isFresh).count();
     // With few known prices, every miss would be sent to the same few endpoints.
@@ -195,7 +195,7 @@
    * @param hot whether the adapter is hot; it then stays on the endpoints that hot adapters share
    * @param ordered the endpoints, best first
    */
-  public List<EndpointId> byHints(AdapterVersion adapter, boolean hot, List<Candidate> ordered) {
+  public List<EndpointId> applyHints(AdapterVersion adapter, boolean hot, List<Candidate> ordered) {
     List<Candidate> hinted =
         ordered.stream()
             .sorted(
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/settings/EntrySettings.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/settings/EntrySettings.java
@@ -251,7 +251,7 @@
       return Optional.empty();
     }
     return Optional.of(
-        AdmissionSettings.DEFAULT.holding(
+        AdmissionSettings.DEFAULT.withBounds(
             Math.toIntExact(number(Setting.MAX_QUEUED)),
             Math.toIntExact(number(Setting.MAX_QUEUED_PER_SERVICE))));
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/EngineRelay.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/EngineRelay.java
@@ -17,7 +17,7 @@
 public final class EngineRelay implements EngineStreamListener {
 
   /** Receives the end of the stream. */
-  public interface End {
+  public interface EndListener {
 
     /**
      * Called when the complete answer has arrived.
@@ -25,7 +25,7 @@
      * @param ranOn the adapter version that it ran on
      * @param tokens its length in tokens
      */
-    void whole(AdapterVersion ranOn, int tokens);
+    void completed(AdapterVersion ranOn, int tokens);
 
     /** Called when the engine has refused the request. */
     void refused(EngineRefusal refusal);
@@ -42,7 +42,7 @@
 
   private final Execution execution;
   private final AdapterVersion expected;
-  private final End end;
+  private final EndListener end;
   private int next;
   private boolean closed;
 
@@ -53,7 +53,7 @@
    * @param from index of the first requested token
    * @param end receives the end of the stream
    */
-  public EngineRelay(Execution execution, int from, End end) {
+  public EngineRelay(Execution execution, int from, EndListener end) {
     this.execution = execution;
     this.expected = execution.completion().adapter();
     this.next = from;
@@ -115,7 +115,7 @@
       return;
     }
     closed = true;
-    end.whole(frame.ranOn(), frame.tokens());
+    end.completed(frame.ranOn(), frame.tokens());
   }
 
   private void fail(boolean mayHaveReached, boolean resumable) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/request/Execution.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/request/Execution.java
@@ -27,7 +27,7 @@
     /** Waits for a stream slot on an endpoint. */
     QUEUED,
     /** Has a stream slot and waits for the entry's grant. */
-    ASKING,
+    AWAITING_GRANT,
     /** Has been written to the endpoint. */
     RUNNING,
     /** Has ended. */
@@ -78,12 +78,12 @@
   }
 
   /** Sets the stream slot that placement assigned. */
-  public void place(PlacementAction.Start start) {
+  public void assign(PlacementAction.Start start) {
     assignment = start;
   }
 
   /** Returns the stream slot that placement assigned; null while the attempt waits. */
-  public PlacementAction.Start place() {
+  public PlacementAction.Start assignment() {
     return assignment;
   }
 
@@ -117,12 +117,12 @@
   }
 
   /** Records that the grant was requested from the entry. */
-  public void asking() {
-    stage = Stage.ASKING;
+  public void markAwaitingGrant() {
+    stage = Stage.AWAITING_GRANT;
   }
 
   /** Records that the attempt is being written to the endpoint. */
-  public void running(long nowMs) {
+  public void markRunning(long nowMs) {
     stage = Stage.RUNNING;
     startedAtMs = nowMs;
   }
@@ -142,7 +142,7 @@
   }
 
   /** Returns the time since its arrival, in milliseconds. */
-  public long agedMs(long nowMs) {
+  public long ageMs(long nowMs) {
     return nowMs - arrivedAtMs;
   }
 
@@ -157,7 +157,7 @@
   }
 
   /** Returns whether its deadline has passed. */
-  public boolean isLate(long nowMs) {
+  public boolean isDeadlinePassed(long nowMs) {
     return nowMs - arrivedAtMs >= forward.remainingMs();
   }
 
@@ -183,24 +183,24 @@
   }
 
   /** Cancels the stream of its answer. */
-  public void dropStream() {
+  public void cancelStream() {
     if (stream != null) {
       stream.cancel();
     }
   }
 
   /** Notifies the entry that the complete answer has been forwarded. */
-  public void whole(AdapterVersion ranOn, int tokens, List<EndpointLoad> load) {
+  public void sendFinished(AdapterVersion ranOn, int tokens, List<EndpointLoad> load) {
     replies.send(new PeerMessage.Finished(id(), ranOn, tokens, waitedMs(), load));
   }
 
   /** Notifies the entry that the attempt did not run and will not run. */
-  public void refuse(ErrorKind kind, boolean byEndpoint, long comeBackMs) {
+  public void sendRefused(ErrorKind kind, boolean byEndpoint, long comeBackMs) {
     replies.send(new PeerMessage.Refused(id(), kind, byEndpoint, comeBackMs));
   }
 
   /** Notifies the entry that the attempt may have run but has no complete answer. */
-  public void lost() {
+  public void sendEndpointLost() {
     replies.send(new PeerMessage.EndpointLost(id()));
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationNode.java
@@ -65,7 +65,7 @@
   private final ConfigurationListener listener;
   private final WatcherElection election;
   private final ConfigurationStore store =
-      ConfigurationStore.create(ConfigurationStore.TOMBSTONE_MILLIS);
+      ConfigurationStore.create(ConfigurationStore.TOMBSTONE_RETENTION_MILLIS);
   private final HostListMonitor hosts;
   private final HintedSnapshots hinted = new HintedSnapshots();
   private final PresetInForce presets = new PresetInForce();
@@ -304,7 +304,7 @@
    * @param peer the peer
    * @param push the objects
    */
-  public void pushed(DaemonId peer, PeerMessage.ObjectsPush push) {
+  public void objectsPushed(DaemonId peer, PeerMessage.ObjectsPush push) {
     // Forwarded even if nothing in it is new here: the other watcher's copy may have arrived first,
     // and that copy was forwarded to different peers.
     forward(push, push.passOnTo());
@@ -350,7 +350,7 @@
    * @param peer the peer
    * @param request the request with the peer's digest
    */
-  public void asked(DaemonId peer, PeerMessage.ObjectsRequest request) {
+  public void objectsRequested(DaemonId peer, PeerMessage.ObjectsRequest request) {
     PeerMessage.ObjectsPush answer;
     HostHints hints;
     lock.lock();
@@ -377,7 +377,7 @@
    * @param peerRoot the root of the peer's digest
    * @param cutOff whether the peer's own calls to the platform are unanswered
    */
-  public void heard(DaemonId peer, long peerRoot, boolean cutOff) {
+  public void digestReceived(DaemonId peer, long peerRoot, boolean cutOff) {
     runLocked(
         () -> {
           if (cutOff) {
--- a/daemon/src/test/java/io/sequoiapass/daemon/connection/peer/PeerFramesTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/connection/peer/PeerFramesTest.java
@@ -131,11 +131,11 @@
             new LedgerMessage.Answer(
                 KEY, HOLDER, LedgerMessage.Step.RESERVE, Optional.of(ErrorKind.KEY_REUSED))),
         ledger(new LedgerMessage.Answer(KEY, HOLDER, LedgerMessage.Step.FINISH, Optional.empty())),
-        ledger(new LedgerMessage.AskHolder(KEY, HOLDER, OTHER_HOLDER)),
+        ledger(new LedgerMessage.QueryHolder(KEY, HOLDER, OTHER_HOLDER)),
         ledger(new LedgerMessage.StillOpen(KEY, HOLDER, OTHER_HOLDER)),
         ledger(new LedgerMessage.Copy(RECORD)),
         ledger(new LedgerMessage.Copied(MEMBER, KEY, 4)),
-        ledger(new LedgerMessage.AskRecords(MEMBER, 12)),
+        ledger(new LedgerMessage.RequestRecords(MEMBER, 12)),
         ledger(
             new LedgerMessage.Records(
                 MEMBER,
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/entry/AffinityRoutesTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/entry/AffinityRoutesTest.java
@@ -37,7 +37,7 @@
   private static final int MANY = 200;
 
   private final ConfigurationStore store =
-      ConfigurationStore.create(ConfigurationStore.TOMBSTONE_MILLIS);
+      ConfigurationStore.create(ConfigurationStore.TOMBSTONE_RETENTION_MILLIS);
   private final Set<EndpointId> unowned = new HashSet<>();
   private long now;
   private long version;
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/entry/EntryShardTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/entry/EntryShardTest.java
@@ -69,7 +69,7 @@
 
     link.open = true;
     link.sent.clear();
-    now += AttemptSettings.DEFAULT.ownerPauseMillis();
+    now += AttemptSettings.DEFAULT.ownerRetryIntervalMillis();
     shard.tick();
 
     assertThat(link.sent).hasSize(1).first().isInstanceOf(PeerMessage.Forward.class);
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/placement/AdaptivePlacementFuzzTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/placement/AdaptivePlacementFuzzTest.java
@@ -179,7 +179,7 @@
     }
 
     void othersLoad(int number) {
-      placement.otherLoads(nowMs, number % 4);
+      placement.recordOtherLoads(nowMs, number % 4);
     }
 
     void advanceTime(int number) {
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/placement/AdaptivePlacementTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/placement/AdaptivePlacementTest.java
@@ -68,7 +68,7 @@
     }
 
     assertThat(batches.loads().get(0).hot()).containsExactly(NOTES);
-    batches.weigh(PlacementWeights.BATCHES.times(2, 1), true);
+    batches.updateWeights(PlacementWeights.BATCHES.times(2, 1), true);
     assertThat(batches.loads().get(0).hot()).isEmpty();
   }
 
@@ -76,10 +76,10 @@
   void nothingIsPrefetchedWhilePrefetchIsDisabled() {
     placement.endpointJoined(0, status(ONE, 2, resident(NOTES, "h1")));
     arrive(1, "r1", NOTES);
-    placement.weigh(PlacementWeights.STALLS, false);
+    placement.updateWeights(PlacementWeights.STALLS, false);
 
     assertThat(placement.endpointJoined(2, status(ONE, 2))).isEmpty();
-    placement.weigh(PlacementWeights.STALLS, true);
+    placement.updateWeights(PlacementWeights.STALLS, true);
     assertThat(placement.tick(3)).containsExactly(load(ONE, NOTES, null));
   }
 
@@ -98,7 +98,7 @@
   @Test
   void loadIsDelayedWhileOtherOwnersLoad() {
     placement.endpointJoined(0, status(ONE, 4));
-    placement.otherLoads(0, 1);
+    placement.recordOtherLoads(0, 1);
 
     assertThat(arrive(1, "r1", NOTES)).isEmpty();
     assertThat(placement.tick(200)).isEmpty();
@@ -108,7 +108,7 @@
   @Test
   void staleReportOfOtherLoadsIsIgnored() {
     placement.endpointJoined(0, status(ONE, 4));
-    placement.otherLoads(0, 9);
+    placement.recordOtherLoads(0, 9);
 
     assertThat(arrive(1_001, "r1", NOTES)).containsExactly(load(ONE, NOTES, null));
   }
--- a/daemon/src/test/java/io/sequoiapass/daemon/request/EngineRelayTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/request/EngineRelayTest.java
@@ -98,10 +98,10 @@
     public void close() {}
   }
 
-  private final class End implements EngineRelay.End {
+  private final class End implements EngineRelay.EndListener {
 
     @Override
-    public void whole(AdapterVersion ranOn, int tokens) {
+    public void completed(AdapterVersion ranOn, int tokens) {
       events.add("whole " + tokens);
     }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/connection/EntryFrames.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/connection/EntryFrames.java
@@ -21,7 +21,7 @@
   private EntryFrames() {}
 
   static void write(MessageBufferPacker out, LinkMessage.Endpoints endpoints) throws IOException {
-    out.packBoolean(endpoints.whole());
+    out.packBoolean(endpoints.snapshot());
     out.packLong(endpoints.revision());
     LinkFrames.list(
         out,
@@ -50,7 +50,7 @@
     out.packString(entry.dataCentre().value());
     out.packInt(entry.slots());
     out.packBoolean(entry.leaving());
-    out.packLong(entry.bornMs());
+    out.packLong(entry.startTimeMs());
     LinkFrames.list(out, entry.models(), EntryFrames::writeModel);
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/connection/LinkFrames.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/connection/LinkFrames.java
@@ -84,7 +84,7 @@
       out.packBoolean(request.another());
       out.packLong(request.promptTokens());
       out.packLong(request.outputTokens());
-      out.packLong(request.inTimeMs());
+      out.packLong(request.maxDelayMs());
       out.packLong(request.waitMs());
       out.packBoolean(request.copyKnown());
       list(out, request.excluded(), (to, endpoint) -> to.packString(endpoint.value()));
@@ -115,7 +115,7 @@
       out.packBoolean(status.slotsWanted());
     } else if (message instanceof LinkMessage.Placements placements) {
       out.packInt(PLACEMENTS);
-      out.packBoolean(placements.whole());
+      out.packBoolean(placements.snapshot());
       list(out, placements.placements(), LinkFrames::writePlacement);
     } else if (message instanceof LinkMessage.Loads loads) {
       out.packInt(LOADS);
--- a/gateway/src/main/java/io/sequoiapass/gateway/connection/LinkMessage.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/connection/LinkMessage.java
@@ -47,7 +47,7 @@
    * @param another whether a further copy is requested although one exists
    * @param promptTokens length of the waiting request's prompt, in tokens
    * @param outputTokens expected length of its answer, in tokens
-   * @param inTimeMs the longest delay of the load that still meets the target latency, in
+   * @param maxDelayMs the longest delay of the load that still meets the target latency, in
    *     milliseconds
    * @param waitMs how long the request may be queued for a slot, in milliseconds; 0 if it may not
    * @param copyKnown whether the daemon has a record of a copy that the request cannot use
@@ -59,7 +59,7 @@
       boolean another,
       long promptTokens,
       long outputTokens,
-      long inTimeMs,
+      long maxDelayMs,
       long waitMs,
       boolean copyKnown,
       List<EndpointId> excluded)
@@ -117,13 +117,13 @@
    * A coordinator sends the endpoint list or its changes, so that not every daemon has to watch the
    * store.
    *
-   * @param whole whether this is a complete snapshot rather than changes
+   * @param snapshot whether this is a complete snapshot rather than changes
    * @param revision the store's revision up to which changes are included
    * @param entries entries that are new or changed, each with its own revision
    * @param gone endpoints whose entries were removed
    */
   record Endpoints(
-      boolean whole, long revision, List<ListedEndpoint> entries, List<GoneEndpoint> gone)
+      boolean snapshot, long revision, List<ListedEndpoint> entries, List<GoneEndpoint> gone)
       implements LinkMessage {
     /** Copies the lists. */
     public Endpoints {
@@ -172,10 +172,10 @@
   /**
    * A coordinator reports which adapters its endpoints hold.
    *
-   * @param whole whether this is a complete snapshot rather than changes
+   * @param snapshot whether this is a complete snapshot rather than changes
    * @param placements one for each endpoint and adapter
    */
-  record Placements(boolean whole, List<Placement> placements) implements LinkMessage {
+  record Placements(boolean snapshot, List<Placement> placements) implements LinkMessage {
     /** Copies the list. */
     public Placements {
       placements = List.copyOf(placements);
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/CallerHandler.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/CallerHandler.java
@@ -125,7 +125,7 @@
     return engine
         .get()
         .model(adapter.get().model())
-        .map(spec -> spec.knows().test(adapter.get().adapter()))
+        .map(spec -> spec.adapterExists().test(adapter.get().adapter()))
         .orElse(true);
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinationNode.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinationNode.java
@@ -86,7 +86,7 @@
   /** Returns whether an order may be sent now. */
   synchronized boolean mayOrder(long now, boolean fenced) {
     if (freezes.checkDrift()) {
-      log.belief("freeze_noticed").with("holding", election.isHolding()).write();
+      log.event("freeze_noticed").with("holding", election.isHolding()).write();
     }
     boolean current = fenced || !freezes.isSuspect();
     return current && election.mayOrder(now, fenced);
@@ -199,7 +199,7 @@
       }
     }
     if (changed) {
-      log.belief("lease")
+      log.event("lease")
           .with("holding", holding)
           .with("epoch", proposal.epoch())
           .with("revision", revision)
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/Coordinator.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/Coordinator.java
@@ -193,7 +193,7 @@
     epoch = newEpoch;
     plan.requireReports();
     observe();
-    log.belief("coordinator_started").with("data_centre", here).with("epoch", epoch).write();
+    log.event("coordinator_started").with("data_centre", here).with("epoch", epoch).write();
   }
 
   /** Stops coordinating, because another daemon holds the lease or this process stops. */
@@ -202,7 +202,7 @@
       return;
     }
     active = false;
-    log.belief("coordinator_ended").with("epoch", epoch).with("reason", reason).write();
+    log.event("coordinator_ended").with("epoch", epoch).with("reason", reason).write();
     new ArrayList<>(links.keySet()).forEach(FrameChannel::close);
     links.clear();
   }
@@ -420,7 +420,7 @@
     boolean fenced;
     synchronized (this) {
       long now = clock.millis();
-      log.belief("order")
+      log.event("order")
           .with("type", order.type())
           .with("endpoint", order.endpoint())
           .with("model", order.model())
@@ -476,7 +476,7 @@
     subscribers.unsubscribe(channel);
     if (linked != null && linked.daemon != null) {
       plan.removeDaemon(linked.daemon);
-      log.belief("daemon_unlinked").with("peer", linked.daemon).write();
+      log.event("daemon_unlinked").with("peer", linked.daemon).write();
     }
   }
 
@@ -490,7 +490,7 @@
     if (message instanceof LinkMessage.Hello hello) {
       linked.daemon = hello.daemon();
       sendSnapshot(channel, now);
-      log.belief("daemon_linked").with("peer", hello.daemon()).with("links", links.size()).write();
+      log.event("daemon_linked").with("peer", hello.daemon()).with("links", links.size()).write();
     } else if (message instanceof LinkMessage.UsageReport usage && linked.daemon != null) {
       linked.coordinates = usage.coordinator();
       plan.updateUsage(linked.daemon, usage.usages(), now);
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinatorElection.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinatorElection.java
@@ -131,7 +131,7 @@
       proposed = new CoordinatorLease(daemon, process, address, epoch + 1, 0, false);
     } else {
       CoordinatorLease held = seen.flatMap(Stored::value).orElseThrow();
-      proposed = releasing ? held.givenUp() : held.renewed();
+      proposed = releasing ? held.asReleased() : held.renewed();
     }
     lastWriteAt = now;
     busy = true;
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinatorLink.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/CoordinatorLink.java
@@ -203,7 +203,7 @@
       if (wasUp) {
         directory.coordinatorDisconnected(dataCentre);
         onLost.run();
-        log.belief("coordinator_lost")
+        log.event("coordinator_lost")
             .with("data_centre", dataCentre)
             .with("address", String.valueOf(address))
             .write();
@@ -249,7 +249,7 @@
     slotsWanted = status.slotsWanted();
     if (first) {
       directory.coordinatorConnected(dataCentre);
-      log.belief("coordinator_found")
+      log.event("coordinator_found")
           .with("data_centre", dataCentre)
           .with("epoch", status.epoch())
           .with("revision", status.revision())
@@ -263,7 +263,7 @@
 
   private void placements(LinkMessage.Placements placements) {
     long now = clock.millis();
-    if (placements.whole()) {
+    if (placements.snapshot()) {
       replaceAll(placements.placements(), now);
     } else {
       placements.placements().forEach(placement -> place(placement, now));
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/DecisionLog.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/DecisionLog.java
@@ -74,7 +74,7 @@
    *
    * @param event what changed
    */
-  public Line belief(String event) {
+  public Line event(String event) {
     return new Line(event);
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointDirectory.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointDirectory.java
@@ -245,7 +245,7 @@
       apply(new Stored<>(endpoint.value(), item.revision(), Optional.of(item.entry()), ""));
     }
     update.gone().forEach(gone -> remove(gone.endpoint(), gone.revision(), gone.graceMs()));
-    if (update.whole()) {
+    if (update.snapshot()) {
       removeAllBut(present, update.revision(), 0);
     }
     currentRevision = Math.max(currentRevision, update.revision());
@@ -270,11 +270,12 @@
 
   /**
    * Applies an entry; returns whether it changes anything that requests depend on. An unreadable
-   * entry comes from another writer and is ignored. So is an entry older than the known one, since changes of the store and of the coordinators may arrive out of order.
+   * entry comes from another writer and is ignored. So is an entry older than the known one, since
+   * changes of the store and of the coordinators may arrive out of order.
    */
   private synchronized boolean apply(Stored<EndpointEntry> item) {
     if (item.value().isEmpty()) {
-      log.belief("endpoint_entry_unreadable")
+      log.event("endpoint_entry_unreadable")
           .with("endpoint", item.name())
           .with("revision", item.revision())
           .with("problem", item.problem())
@@ -294,7 +295,7 @@
     if (before == null || before.leaving() != entry.leaving() || restarted) {
       logEntry(before == null ? "endpoint_known" : "endpoint_changed", entry, item.revision());
     }
-    boolean changed = before == null || !before.servesLike(entry);
+    boolean changed = before == null || !before.equalsIgnoringAdapters(entry);
     if (changed) {
       watcher.listed(new LinkMessage.ListedEndpoint(entry, item.revision()));
     }
@@ -302,12 +303,12 @@
   }
 
   private void logEntry(String event, EndpointEntry entry, long revision) {
-    log.belief(event)
+    log.event(event)
         .with("endpoint", entry.endpoint())
         .with("service", entry.service())
         .with("data_centre", entry.dataCentre())
         .with("leaving", entry.leaving())
-        .with("born_ms", entry.bornMs())
+        .with("born_ms", entry.startTimeMs())
         .with("revision", revision)
         .write();
   }
@@ -326,7 +327,7 @@
     long now = clock.millis();
     group(entry.service()).retireAt(endpoint, now + graceMs);
     known.remove(endpoint);
-    log.belief("endpoint_gone")
+    log.event("endpoint_gone")
         .with("endpoint", endpoint)
         .with("service", entry.service())
         .with("grace_ms", graceMs)
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointGroup.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/EndpointGroup.java
@@ -92,7 +92,7 @@
       state = new EndpointState(entry, () -> loadTimes(entry.dataCentre()).cacheDepth());
       endpoints.put(entry.endpoint(), state);
     }
-    boolean restarted = state.entry.bornMs() != entry.bornMs();
+    boolean restarted = state.entry.startTimeMs() != entry.startTimeMs();
     state.entry = entry;
     state.retiredAt = EndpointState.NEVER;
     if (restarted) {
@@ -160,7 +160,7 @@
       return Set.of();
     }
     Set<EndpointId> excluded = new HashSet<>(demand.avoid());
-    excluded.addAll(health.leftOut(now));
+    excluded.addAll(health.excluded(now));
     return excluded;
   }
 
@@ -421,7 +421,7 @@
       return Optional.empty();
     }
     Optional<AdapterName> adapter = demand.generation().flatMap(Generation::adapter);
-    boolean binding = adapter.isPresent() && versions.isBinding(adapter.get(), now);
+    boolean binding = adapter.isPresent() && versions.isGraceElapsed(adapter.get(), now);
     OptionalLong version =
         binding ? OptionalLong.of(versions.newest(adapter.get())) : OptionalLong.empty();
     return Optional.of(new Target(endpoint, state.entry.address(), version));
@@ -514,7 +514,7 @@
     }
 
     /** Returns whether the endpoint sends nothing on any of this daemon's streams. */
-    public boolean endpointIsStalled(long now) {
+    public boolean isEndpointStalled(long now) {
       synchronized (EndpointGroup.this) {
         return state.stalls.isStalled(now);
       }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/Gateway.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/Gateway.java
@@ -247,7 +247,7 @@
                 Runnable lost =
                     () -> {
                       storeFreshness.lost(dataCentre);
-                      waiting.lost(dataCentre);
+                      waiting.coordinatorLost(dataCentre);
                     };
                 links.add(
                     new CoordinatorLink(
@@ -315,7 +315,7 @@
       feeds.values().forEach(StoreFeed::checkRelay);
     } catch (RuntimeException e) {
       // The scheduler would cancel all later rounds after an exception.
-      log.belief("internal_error").with("where", "tick").with("cause", e.toString()).write();
+      log.event("internal_error").with("where", "tick").with("cause", e.toString()).write();
     }
   }
 
@@ -332,7 +332,7 @@
   public void drain() throws InterruptedException {
     long startedAt = clock.millis();
     draining = true;
-    log.belief("stopping").with("requests", callers.inFlight()).write();
+    log.event("stopping").with("requests", callers.inFlight()).write();
     callerServer.closeAfterAnswers();
     node.releaseLease();
     long latest = startedAt + settings.bounds().graceMs() - STOP_MARGIN_MS;
@@ -347,7 +347,7 @@
       }
       TimeUnit.MILLISECONDS.sleep(STOP_POLL_MS);
     }
-    log.belief("stopped").with("requests_cut", callers.inFlight()).write();
+    log.event("stopped").with("requests_cut", callers.inFlight()).write();
     log.flush();
   }
 
@@ -357,7 +357,7 @@
    */
   private void applyConfiguration(Stored<ServingConfiguration> item) {
     if (item.value().isEmpty()) {
-      log.belief("configuration_unreadable")
+      log.event("configuration_unreadable")
           .with("revision", item.revision())
           .with("problem", item.problem())
           .write();
@@ -371,7 +371,7 @@
     directory.configure(next);
     configuration.set(next);
     coordinator.observe();
-    log.belief("configuration")
+    log.event("configuration")
         .with("version", next.version())
         .with("revision", item.revision())
         .write();
@@ -379,7 +379,7 @@
 
   private void applyRelease(Stored<AdapterRelease> item) {
     if (item.value().isEmpty()) {
-      log.belief("release_unreadable")
+      log.event("release_unreadable")
           .with("name", item.name())
           .with("problem", item.problem())
           .write();
@@ -393,7 +393,7 @@
     if (!versions.announce(adapter, version, clock.millis())) {
       return;
     }
-    log.belief("release")
+    log.event("release")
         .with("adapter", adapter)
         .with("version", version)
         .with("source", source)
@@ -411,7 +411,7 @@
 
     @Override
     public void loadRejected(DataCentreId dataCentre, AdapterName adapter, long retryAfterMs) {
-      waiting.noRoom(dataCentre, adapter, retryAfterMs);
+      waiting.loadRejected(dataCentre, adapter, retryAfterMs);
     }
 
     @Override
@@ -444,7 +444,7 @@
               request.another(),
               generation.promptTokens(),
               generation.expectedOutputTokens(),
-              request.inTimeMs(),
+              request.maxDelayMs(),
               request.waitMs(),
               directory.isHeld(adapter),
               List.copyOf(request.excluded())));
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/GatewayProgram.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/GatewayProgram.java
@@ -50,7 +50,7 @@
             false,
             StandardCharsets.UTF_8);
     DecisionLog log = DecisionLog.start(settings.daemon().value(), MillisClock.wall(), out);
-    log.belief("started")
+    log.event("started")
         .with("data_centre", settings.dataCentre())
         .with("callers", settings.callers())
         .with("store", settings.store())
@@ -66,9 +66,9 @@
       Deployment deployment, Map<String, String> environment, DecisionLog log) {
     try {
       HostSettings settings = deployment.settings(environment);
-      log.belief("reloaded").with("data_centre", settings.dataCentre()).write();
+      log.event("reloaded").with("data_centre", settings.dataCentre()).write();
     } catch (SettingsException e) {
-      log.belief("reload_failed").with("cause", e.getMessage()).write();
+      log.event("reload_failed").with("cause", e.getMessage()).write();
     }
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/LoadRouter.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/LoadRouter.java
@@ -86,7 +86,7 @@
             request.version(),
             new RequestSize(request.promptTokens(), request.outputTokens()),
             Set.copyOf(request.excluded())),
-        now + request.inTimeMs(),
+        now + request.maxDelayMs(),
         now + request.waitMs());
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/PlacementPlan.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/PlacementPlan.java
@@ -96,7 +96,7 @@
   boolean observe(EndpointEntry entry, EngineSpec engine, long now) {
     PlannedEndpoint known = endpoints.get(entry.endpoint());
     boolean isNew = known == null;
-    if (known == null || known.entry.bornMs() != entry.bornMs()) {
+    if (known == null || known.entry.startTimeMs() != entry.startTimeMs()) {
       if (known != null) {
         known.copies.keySet().forEach(name -> changes.recordRemoved(entry.endpoint(), name));
       }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/PlannedEndpoint.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/PlannedEndpoint.java
@@ -113,7 +113,7 @@
                       (adapter, version) ->
                           hold(new AdapterName(held.model(), adapter), version, now, before));
             });
-    report.coming().forEach((name, version) -> hold(name, version, now + loadMs, before));
+    report.loading().forEach((name, version) -> hold(name, version, now + loadMs, before));
     sequence = report.sequence();
     steps.clear();
     synced = true;
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/SharedRetryBudget.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/SharedRetryBudget.java
@@ -58,7 +58,7 @@
    *
    * @param now the time, in milliseconds
    */
-  public synchronized boolean take(long now) {
+  public synchronized boolean tryAcquire(long now) {
     if (!allows(now)) {
       return false;
     }
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/StoreFeed.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/StoreFeed.java
@@ -226,7 +226,7 @@
   private synchronized void watched(StoreChanges<T> changes, Throwable failure) {
     if (failure != null) {
       if (StoreException.reasonOf(failure) == StoreException.Reason.HISTORY_GONE) {
-        log.belief("store_history_gone").with("kind", kind.name()).with("after", revision).write();
+        log.event("store_history_gone").with("kind", kind.name()).with("after", revision).write();
         list();
       } else {
         retry(failure, this::watch);
@@ -269,10 +269,7 @@
     view = new View(view.changedRevision(), now, false);
     boolean afterOutage = failingSince != NEVER && now - failingSince >= OUTAGE_MS;
     if (failingSince != NEVER) {
-      log.belief("store_back")
-          .with("kind", kind.name())
-          .with("away_ms", now - failingSince)
-          .write();
+      log.event("store_back").with("kind", kind.name()).with("away_ms", now - failingSince).write();
     }
     failingSince = NEVER;
     retryMs = RETRY_MS;
@@ -283,7 +280,7 @@
     if (failingSince == NEVER) {
       view = new View(view.changedRevision(), view.answeredAt(), true);
       failingSince = clock.millis();
-      log.belief("store_lost")
+      log.event("store_lost")
           .with("kind", kind.name())
           .with("reason", StoreException.reasonOf(failure).name())
           .with("message", String.valueOf(failure.getMessage()))
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/LoadRequest.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/LoadRequest.java
@@ -10,13 +10,17 @@
  *
  * @param generation the generation that waits for it
  * @param another whether a further copy is requested although one exists
- * @param inTimeMs the longest delay of the load that still meets the target latency, in
+ * @param maxDelayMs the longest delay of the load that still meets the target latency, in
  *     milliseconds
  * @param waitMs how long the request may be queued for a slot, in milliseconds; 0 if it may not
  * @param excluded endpoints that the request cannot use, even if they hold the adapter
  */
 public record LoadRequest(
-    Generation generation, boolean another, long inTimeMs, long waitMs, Set<EndpointId> excluded) {
+    Generation generation,
+    boolean another,
+    long maxDelayMs,
+    long waitMs,
+    Set<EndpointId> excluded) {
 
   /** Copies the excluded endpoints. */
   public LoadRequest {
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/PendingRequests.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/PendingRequests.java
@@ -41,7 +41,7 @@
    * @param adapter the adapter
    * @param retryAfterMs when to request the load again, in milliseconds
    */
-  public void noRoom(DataCentreId dataCentre, AdapterName adapter, long retryAfterMs) {
+  public void loadRejected(DataCentreId dataCentre, AdapterName adapter, long retryAfterMs) {
     waitingFor(adapter).forEach(request -> request.loadRejected(dataCentre, retryAfterMs));
   }
 
@@ -50,7 +50,7 @@
    *
    * @param dataCentre the data centre
    */
-  public void lost(DataCentreId dataCentre) {
+  public void coordinatorLost(DataCentreId dataCentre) {
     requests.values().stream()
         .flatMap(Set::stream)
         .toList()
--- a/gateway/src/main/java/io/sequoiapass/gateway/request/RelayedRequest.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/request/RelayedRequest.java
@@ -276,7 +276,7 @@
       refuseOrFail(new Choice.Refuse(ErrorKind.NO_ENDPOINT, RETRY_AFTER_MS));
       return;
     }
-    if (sends > 0 && (sends >= MAX_SENDS || !budget.take(now))) {
+    if (sends > 0 && (sends >= MAX_SENDS || !budget.tryAcquire(now))) {
       ticket.get().ended(EndpointGroup.Ending.NO_BLAME, now);
       refuseOrFail(new Choice.Refuse(ErrorKind.OVERLOADED, RETRY_AFTER_MS));
       return;
@@ -320,7 +320,7 @@
     if (completed || attempt != waitedFor || !mayRetryAfter(runs + 1, now)) {
       return;
     }
-    if (watch.checkTimeout(waitedFor.ticket.endpointIsStalled(now), now)
+    if (watch.checkTimeout(waitedFor.ticket.isEndpointStalled(now), now)
         && failOver(waitedFor, now) == FailoverPolicy.Step.MOVE) {
       waitedFor.stream.cancel();
       broken(waitedFor, "silent");
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/CoordinatorLease.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/CoordinatorLease.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns the released lease. */
-  public CoordinatorLease givenUp() {
+  public CoordinatorLease asReleased() {
     return new CoordinatorLease(holder, process, address, epoch, renewals + 1, true);
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointEntry.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointEntry.java
@@ -22,8 +22,8 @@
  * @param dataCentre where it runs
  * @param slots requests that it runs concurrently
  * @param leaving whether it is draining and takes no new work
- * @param bornMs when its process started, in milliseconds since 1970; 0 if not stated. An endpoint
- *     of the same name with another start time has lost all state
+ * @param startTimeMs when its process started, in milliseconds since 1970; 0 if not stated. An
+ *     endpoint of the same name with another start time has lost all state
  * @param models the base models that it holds
  */
 public record EndpointEntry(
@@ -33,7 +33,7 @@
     DataCentreId dataCentre,
     int slots,
     boolean leaving,
-    long bornMs,
+    long startTimeMs,
     List<HeldModel> models) {
 
   /** Copies the models. */
@@ -47,13 +47,13 @@
    *
    * @param other the other entry
    */
-  public boolean servesLike(EndpointEntry other) {
+  public boolean equalsIgnoringAdapters(EndpointEntry other) {
     return service.equals(other.service)
         && address.equals(other.address)
         && dataCentre.equals(other.dataCentre)
         && slots == other.slots
         && leaving == other.leaving
-        && bornMs == other.bornMs
+        && startTimeMs == other.startTimeMs
         && modelNames().equals(other.modelNames());
   }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointReport.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/EndpointReport.java
@@ -10,19 +10,19 @@
  * <p>Instances are immutable and safe for use by several threads.
  *
  * @param models the base models that it holds
- * @param coming adapters that it is loading, with their versions
+ * @param loading adapters that it is loading, with their versions
  * @param busy whether it is executing an order
  * @param sequence number of orders that it has accepted
  */
 public record EndpointReport(
     List<EndpointEntry.HeldModel> models,
-    Map<AdapterName, Long> coming,
+    Map<AdapterName, Long> loading,
     boolean busy,
     long sequence) {
 
   /** Copies the collections. */
   public EndpointReport {
     models = List.copyOf(models);
-    coming = Map.copyOf(coming);
+    loading = Map.copyOf(loading);
   }
 }
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/AdapterVersions.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/AdapterVersions.java
@@ -88,7 +88,7 @@
    * @param name the adapter
    * @param now the time, in milliseconds
    */
-  public boolean isBinding(AdapterName name, long now) {
+  public boolean isGraceElapsed(AdapterName name, long now) {
     Release known = releases.get(name);
     return known != null && now - known.since() >= graceMs;
   }
--- a/gateway/src/main/java/io/sequoiapass/gateway/version/ModelSpec.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/version/ModelSpec.java
@@ -12,6 +12,7 @@
  * @param model its name
  * @param weightsMb memory of its weights, in megabytes
  * @param loadMs how long a load from the weight store takes, in milliseconds
- * @param knows tests whether an adapter of this model exists
+ * @param adapterExists tests whether an adapter of this model exists
  */
-public record ModelSpec(ModelId model, double weightsMb, long loadMs, Predicate<AdapterId> knows) {}
+public record ModelSpec(
+    ModelId model, double weightsMb, long loadMs, Predicate<AdapterId> adapterExists) {}
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/CoordinatorElectionTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/CoordinatorElectionTest.java
@@ -201,7 +201,7 @@
 
     @Test
     void leavesTheLeaseFreeForAnother() {
-      CoordinatorLease released = lease("north-2", "p2", 3, 4).givenUp();
+      CoordinatorLease released = lease("north-2", "p2", 3, 4).asReleased();
       election.next(0, false);
       election.read(stored(8, released), 0);
 
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/PlanFixtures.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/PlanFixtures.java
@@ -45,11 +45,11 @@
     return new LoadNeed(adapter(number), 1, new RequestSize(800, 200), excluded);
   }
 
-  static EndpointEntry entry(long bornMs, boolean holdsModel) {
-    return entry(ENGINE, bornMs, holdsModel);
+  static EndpointEntry entry(long startTimeMs, boolean holdsModel) {
+    return entry(ENGINE, startTimeMs, holdsModel);
   }
 
-  static EndpointEntry entry(EndpointId endpoint, long bornMs, boolean holdsModel) {
+  static EndpointEntry entry(EndpointId endpoint, long startTimeMs, boolean holdsModel) {
     return new EndpointEntry(
         endpoint,
         new ServiceId("notes"),
@@ -57,7 +57,7 @@
         new DataCentreId("north"),
         96,
         false,
-        bornMs,
+        startTimeMs,
         holdsModel ? List.of(new EndpointEntry.HeldModel(MODEL, 1, Map.of())) : List.of());
   }
 }
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/SharedRetryBudgetTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/SharedRetryBudgetTest.java
@@ -31,7 +31,7 @@
       for (long now = 0; now < WINDOW_MS; now += 100) {
         budget.requestArrived(now);
         requests++;
-        retries += budget.take(now) ? 1 : 0;
+        retries += budget.tryAcquire(now) ? 1 : 0;
       }
     }
 
@@ -42,19 +42,19 @@
   @Test
   void windowSlides() {
     SharedRetryBudget budget = budget(1);
-    while (budget.take(0)) {
-      assertThat(budget.take(1)).isIn(true, false);
+    while (budget.tryAcquire(0)) {
+      assertThat(budget.tryAcquire(1)).isIn(true, false);
     }
 
-    assertThat(budget.take(WINDOW_MS - 1)).isFalse();
-    assertThat(budget.take(WINDOW_MS + 1)).isTrue();
+    assertThat(budget.tryAcquire(WINDOW_MS - 1)).isFalse();
+    assertThat(budget.tryAcquire(WINDOW_MS + 1)).isTrue();
   }
 
   @Test
   void unknownNumberOfDaemonsUsesASmallShare() {
     SharedRetryBudget alone = budget(0);
     int taken = 0;
-    while (alone.take(0)) {
+    while (alone.tryAcquire(0)) {
       taken++;
     }
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/capacity/OwnershipRound.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/capacity/OwnershipRound.java
@@ -9,7 +9,7 @@
 import io.sequoiapass.coordination.process.OwnershipProposal;
 import io.sequoiapass.coordination.process.OwnershipSettings;
 import io.sequoiapass.coordination.process.OwnershipTable;
-import io.sequoiapass.coordination.process.PlatformContact;
+import io.sequoiapass.coordination.process.PlatformConnectivity;
 import io.sequoiapass.coordination.version.WriteAnswer;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -31,7 +31,8 @@
 
   private final List<DaemonId> daemons = Fleet.daemons(Fleet.DAEMONS_OF_A_CENTRE);
   private final Map<DaemonId, Candidate> candidates = new HashMap<>();
-  private final PlatformContact contact = PlatformContact.create(LeaseSettings.DEFAULT, 0);
+  private final PlatformConnectivity contact =
+      PlatformConnectivity.create(LeaseSettings.DEFAULT, 0);
   private final LeaseObserver observer = LeaseObserver.create(LeaseSettings.DEFAULT, contact);
   private final OwnershipPlanner planner =
       OwnershipPlanner.create(
@@ -49,8 +50,8 @@
       all.add(Fleet.endpoint(i));
     }
     daemons.forEach(daemon -> candidates.put(daemon, new Candidate(1, INCARNATION)));
-    planner.tableSeen(0, OwnershipTable.EMPTY);
-    planner.endpointsAre(all);
+    planner.tableReceived(0, OwnershipTable.EMPTY);
+    planner.setEndpoints(all);
   }
 
   /** Returns the time of a round, in microseconds, at so many endpoints of the data centre. */
@@ -66,8 +67,8 @@
     rounds++;
     long now = rounds * 1_000 / ROUNDS;
     contact.succeeded(now);
-    daemons.forEach(daemon -> observer.heartbeatCarried(now, daemon, rounds));
-    planner.candidatesAre(now, INCARNATION, candidates);
+    daemons.forEach(daemon -> observer.leaseVersionReceived(now, daemon, rounds));
+    planner.setCandidates(now, INCARNATION, candidates);
     planner.leasesToCheck(now);
     planner.takeOver(now).or(() -> planner.rebalance(now)).ifPresent(write -> stored(now, write));
     return planner.table();
@@ -75,6 +76,6 @@
 
   private void stored(long now, OwnershipProposal write) {
     version++;
-    planner.answered(now, write.operation(), new WriteAnswer.Stored(version));
+    planner.writeAnswered(now, write.operation(), new WriteAnswer.Stored(version));
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/capacity/Probe.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/capacity/Probe.java
@@ -12,7 +12,7 @@
 import io.sequoiapass.coordination.process.MembershipSettings;
 import io.sequoiapass.coordination.process.OwnershipDelta;
 import io.sequoiapass.coordination.process.OwnershipTable;
-import io.sequoiapass.coordination.process.PlatformContact;
+import io.sequoiapass.coordination.process.PlatformConnectivity;
 import io.sequoiapass.coordination.process.PlatformReport;
 import io.sequoiapass.coordination.version.ConfigurationObject;
 import io.sequoiapass.coordination.version.ConfigurationSnapshot;
@@ -88,7 +88,7 @@
     double measure(int size) {
       List<DaemonId> daemons = Fleet.daemons(size);
       Membership membership = Membership.create(MembershipSettings.DEFAULT, 0);
-      PlatformContact contact = PlatformContact.create(LeaseSettings.DEFAULT, 0);
+      PlatformConnectivity contact = PlatformConnectivity.create(LeaseSettings.DEFAULT, 0);
       LeaseObserver observer = LeaseObserver.create(LeaseSettings.DEFAULT, contact);
       byte[] frame = PeerFrames.encode(heartbeat());
       Gauge.Counter now = new Gauge.Counter(0);
@@ -98,7 +98,7 @@
             for (DaemonId daemon : daemons) {
               PeerMessage.Heartbeat beat = (PeerMessage.Heartbeat) Gauge.decode(frame);
               membership.heartbeatReceived(time, daemon, 1, MemberState.ALIVE);
-              observer.heartbeatCarried(time, daemon, beat.platform().leaseVersion());
+              observer.leaseVersionReceived(time, daemon, beat.platform().leaseVersion());
             }
             return membership.tick(time);
           });
@@ -210,7 +210,8 @@
   }
 
   private static ConfigurationStore store(List<ConfigurationObject> objects) {
-    ConfigurationStore store = ConfigurationStore.create(ConfigurationStore.TOMBSTONE_MILLIS);
+    ConfigurationStore store =
+        ConfigurationStore.create(ConfigurationStore.TOMBSTONE_RETENTION_MILLIS);
     store.apply(0, objects);
     return store;
   }
