--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/BodyCollector.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/BodyCollector.java
@@ -4,7 +4,10 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 
-/** Joins a request's parts; reports a body over the bound instead of answering by itself. */
+/**
+ * Aggregates the parts of a request, and passes on {@link HttpFault#BODY_TOO_LARGE} for a body over
+ * the limit instead of sending a response itself.
+ */
 final class BodyCollector extends HttpObjectAggregator {
 
   BodyCollector(int maxBytes) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/ConnectionLimits.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/ConnectionLimits.java
@@ -1,20 +1,24 @@
 package io.sequoiapass.daemon.connection;
 
 /**
- * Bounds what a client may send on one server connection and how long it may take.
+ * Limits on the size of requests and on idle and receive times of one server connection.
  *
- * <p>Instances are immutable and safe for use by several threads.
+ * <p>Instances are immutable and thread-safe.
  *
- * @param maxHeaderBytes most bytes of all headers of a request
- * @param maxBodyBytes most bytes of a request's body
- * @param headerTimeoutMs how long a request may take to arrive, in milliseconds; 0 for no bound
- * @param idleTimeoutMs how long a connection may rest between requests, in milliseconds; 0 for no
- *     bound
+ * @param maxHeaderBytes maximum total size of a request's headers, in bytes
+ * @param maxBodyBytes maximum size of a request's body, in bytes
+ * @param headerTimeoutMs maximum time to receive a request, in milliseconds; 0 for no limit
+ * @param idleTimeoutMs maximum time a connection may be idle between requests, in milliseconds; 0
+ *     for no limit
  */
 public record ConnectionLimits(
     int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMs, int idleTimeoutMs) {
 
-  /** Checks the bounds. */
+  /**
+   * Validates the limits.
+   *
+   * @throws IllegalArgumentException if a size is not positive or a timeout is negative
+   */
   public ConnectionLimits {
     if (maxHeaderBytes <= 0 || maxBodyBytes <= 0) {
       throw new IllegalArgumentException(
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/FrameChannel.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/FrameChannel.java
@@ -4,7 +4,7 @@
 import io.netty.channel.Channel;
 import java.net.InetSocketAddress;
 
-/** Sends frames over one connection; safe for use by several threads. */
+/** Sends frames over one connection; thread-safe. */
 public final class FrameChannel {
 
   private final Channel channel;
@@ -14,10 +14,10 @@
   }
 
   /**
-   * Sends a frame, unless the connection has closed.
+   * Sends a frame, unless the connection is closed.
    *
-   * @param frame the bytes
-   * @return false if the connection is known to be closed
+   * @param frame the payload; not copied, so leave it unchanged
+   * @return false if the connection is closed; true does not mean that the frame is delivered
    */
   public boolean send(byte[] frame) {
     if (!channel.isActive()) {
@@ -27,7 +27,7 @@
     return true;
   }
 
-  /** Returns whether the connection takes more without queueing in memory. */
+  /** Returns whether the write buffer is below its high watermark. */
   public boolean writable() {
     return channel.isWritable();
   }
@@ -42,7 +42,7 @@
     channel.close();
   }
 
-  /** Returns the other side's address; null if there is none. */
+  /** Returns the remote address; null if the connection is not established. */
   public InetSocketAddress remoteAddress() {
     return (InetSocketAddress) channel.remoteAddress();
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/FrameListener.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/FrameListener.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.daemon.connection;
 
-/** Hears what happens on one framed connection, on its event loop; must not block. */
+/** Receives the events of one framed connection on its event loop; must not block. */
 public interface FrameListener {
 
   /**
@@ -11,23 +11,23 @@
   void opened(FrameChannel channel);
 
   /**
-   * Called with each frame.
+   * Called for each received frame.
    *
    * @param channel the connection
-   * @param frame the bytes
-   * @throws Exception if the frame cannot be read; the connection is closed then
+   * @param frame the payload
+   * @throws Exception if the frame cannot be decoded; the connection is then closed
    */
   void received(FrameChannel channel, byte[] frame) throws Exception;
 
   /**
-   * Called when the connection starts or stops taking more.
+   * Called when {@link FrameChannel#writable} changes.
    *
    * @param channel the connection
    */
   default void writabilityChanged(FrameChannel channel) {}
 
   /**
-   * Called once when the connection has closed, or could not be opened.
+   * Called once when the connection has closed or could not be opened.
    *
    * @param channel the connection
    */
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/FrameTransport.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/FrameTransport.java
@@ -21,7 +21,7 @@
 import java.util.function.Supplier;
 
 /**
- * Opens and accepts TCP connections that carry frames with a length in front.
+ * Opens and accepts TCP connections that carry length-prefixed frames.
  *
  * <pre>{@code
  * FrameTransport transport = FrameTransport.create(group);
@@ -29,20 +29,23 @@
  * transport.connect(peer, new ClientSide());
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class FrameTransport {
 
-  /** Largest frame: a request's body of a megabyte and its fields, or a push of objects. */
+  /**
+   * Maximum frame size; fits a request with a body of 1 MB and its fields, or a push of objects.
+   */
   private static final int MAX_FRAME_BYTES = 4 << 20;
 
   private static final int LENGTH_BYTES = 4;
 
   /**
-   * Frames that one system call may carry. Tokens of all streams of a step arrive together; without
-   * joining, each costs a call of its own, and calls are most of what a token costs.
+   * Maximum number of frames written by one system call. The tokens of all streams of a step arrive
+   * together; without consolidation each takes its own system call, and system calls are most of
+   * the cost of a token.
    */
-  private static final int MAX_JOINED_FLUSHES = 256;
+  private static final int MAX_CONSOLIDATED_FLUSHES = 256;
 
   private static final int CONNECT_TIMEOUT_MS = 500;
 
@@ -64,10 +67,10 @@
   /**
    * Accepts connections.
    *
-   * @param address where to listen
-   * @param listeners makes the listener of each connection
-   * @return the port
-   * @throws IOException if the address cannot be had
+   * @param address the address to listen on
+   * @param listeners supplies the listener for each connection
+   * @return the port that it listens on
+   * @throws IOException if the address cannot be bound
    */
   public int listen(InetSocketAddress address, Supplier<FrameListener> listeners)
       throws IOException {
@@ -89,7 +92,8 @@
    * Opens a connection.
    *
    * @param address the peer
-   * @param listener hears {@code opened} on success and {@code closed} in any case
+   * @param listener receives {@code opened} on success, and {@code closed} after a failed attempt
+   *     or when the connection closes
    */
   public void connect(InetSocketAddress address, FrameListener listener) {
     ChannelFuture opening =
@@ -120,14 +124,14 @@
   private static void addHandlers(Channel channel, FrameListener listener) {
     channel
         .pipeline()
-        .addLast(new FlushConsolidationHandler(MAX_JOINED_FLUSHES, true))
+        .addLast(new FlushConsolidationHandler(MAX_CONSOLIDATED_FLUSHES, true))
         .addLast(
             new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
         .addLast(new LengthFieldPrepender(LENGTH_BYTES))
         .addLast(new Handler(new FrameChannel(channel), listener));
   }
 
-  /** Hands the frames of one connection to its listener; used on the connection's event loop. */
+  /** Passes the frames of one connection to its listener; used on the connection's event loop. */
   private static final class Handler extends SimpleChannelInboundHandler<ByteBuf> {
 
     private final FrameChannel peer;
@@ -159,9 +163,9 @@
     }
 
     /**
-     * A frame that cannot be read means that the two sides no longer agree on where frames begin,
-     * so every later frame of this connection would be misread. Closing it is enough: each side
-     * treats the attempts on it as lost, and other connections are untouched.
+     * Closes the connection. After a frame that cannot be decoded, the two sides disagree on frame
+     * boundaries, so every later frame on this connection would be misread. Closing is enough: each
+     * side treats the attempts on it as lost, and other connections are unaffected.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpAnswer.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpAnswer.java
@@ -4,13 +4,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Holds one whole HTTP answer.
+ * A complete HTTP response.
  *
  * @param status the status code
  * @param headers the headers
  * @param body the body
  */
-// Answers are never compared, so the array's identity in equals does no harm.
+// Responses are never compared, so array identity in equals is harmless.
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpAnswer(int status, HttpHeaders headers, byte[] body) {
 
@@ -19,7 +19,7 @@
     return new String(body, StandardCharsets.UTF_8);
   }
 
-  /** Returns whether the status is one of success. */
+  /** Returns whether the status is 2xx. */
   public boolean ok() {
     return status / 100 == 2;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpCall.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpCall.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 
 /**
- * Describes one HTTP request to send.
+ * An HTTP request to send.
  *
  * <pre>{@code
  * HttpCall call = HttpCall.to(address, "PUT", "/v1/objects/preset/current")
@@ -15,7 +15,7 @@
  *     .body("{}");
  * }</pre>
  *
- * <p>Instances are immutable and safe for use by several threads.
+ * <p>Instances are immutable and thread-safe.
  */
 public final class HttpCall {
 
@@ -49,16 +49,16 @@
   /**
    * Returns a call without headers or body.
    *
-   * @param address where to
+   * @param address the server's address
    * @param method the HTTP method
-   * @param path path and query
+   * @param path the path and query
    */
   public static HttpCall to(InetSocketAddress address, String method, String path) {
     return new HttpCall(address, method, path, Map.of(), NO_BODY, ReusePolicy.ANY, false);
   }
 
   /**
-   * Returns this call with one more header.
+   * Returns a copy of this call with one more header.
    *
    * @param name the header's name
    * @param value its value
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Returns this call with a body.
+   * Returns a copy of this call with a body.
    *
    * @param text the body, sent as UTF-8
    */
@@ -79,7 +79,7 @@
   }
 
   /**
-   * Returns this call with a body.
+   * Returns a copy of this call with a body.
    *
    * @param bytes the body; not copied, so leave it unchanged
    */
@@ -88,7 +88,7 @@
   }
 
   /**
-   * Returns this call with other headers in place of all that it has.
+   * Returns a copy of this call with all headers replaced.
    *
    * @param all the headers; not copied, so leave them unchanged
    */
@@ -97,17 +97,18 @@
   }
 
   /**
-   * Returns this call with a rule for the connections that may carry it.
+   * Returns a copy of this call that uses only connections allowed by a policy.
    *
-   * @param policy the rule
+   * @param policy the policy for reusing connections
    */
   public HttpCall reuse(ReusePolicy policy) {
     return new HttpCall(address, method, path, headers, body, policy, resetIfAbandoned);
   }
 
   /**
-   * Returns this call so that its connection is reset when it is given up. A plain close would
-   * still deliver what the network holds up, and the request would run seconds later for nobody.
+   * Returns a copy of this call whose connection is reset when the call is cancelled or times out.
+   * After a plain close, bytes delayed in the network are still delivered, and the request would
+   * run seconds later with no client waiting.
    */
   public HttpCall resetIfAbandoned() {
     return new HttpCall(address, method, path, headers, body, reuse, true);
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpClient.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpClient.java
@@ -19,23 +19,23 @@
 import java.util.concurrent.ConcurrentMap;
 
 /**
- * Sends HTTP/1.1 requests over kept connections.
+ * An HTTP/1.1 client that reuses idle connections.
  *
  * <pre>{@code
  * HttpClient client = HttpClient.create(group, 500);
  * client.send(HttpCall.to(address, "GET", "/v1/state"), 1_000).thenAccept(answer -> ...);
  * }</pre>
  *
- * <p>Safe for use by several threads. Listeners are called on event loops and must not block.
+ * <p>Thread-safe. Listeners are called on event loops and must not block.
  */
 public final class HttpClient {
 
-  /** Kept idle connections to one address; more are closed after use. */
-  private static final int MAX_IDLE = 32;
+  /** Maximum idle connections per address; further connections are closed after use. */
+  private static final int MAX_IDLE_PER_ADDRESS = 32;
 
   private final Bootstrap bootstrap;
   private final String echoedHeader;
-  private final ConcurrentMap<InetSocketAddress, Deque<KeptConnection>> idle =
+  private final ConcurrentMap<InetSocketAddress, Deque<IdleConnection>> idle =
       new ConcurrentHashMap<>();
   private final MillisClock clock = MillisClock.monotonic();
 
@@ -48,20 +48,20 @@
    * Returns a client.
    *
    * @param group the event loops to run on
-   * @param connectTimeoutMs how long a connection may take to open, in milliseconds
+   * @param connectTimeoutMs maximum time to open a connection, in milliseconds
    */
   public static HttpClient create(EventLoopGroup group, int connectTimeoutMs) {
     return create(group, connectTimeoutMs, null);
   }
 
   /**
-   * Returns a client of servers that repeat a header of the request in its answer. An answer that
-   * repeats another value belongs to another request, such as a late second answer to the one
-   * before; it is passed over, since taking it would give one caller the answer of another.
+   * Returns a client for servers that echo a request header in the response. A response that echoes
+   * another value belongs to another request, such as a late duplicate response to the previous
+   * one. It is discarded, since accepting it would deliver one caller's response to another.
    *
    * @param group the event loops to run on
-   * @param connectTimeoutMs how long a connection may take to open, in milliseconds
-   * @param echoedHeader the name of the header; null if servers repeat none
+   * @param connectTimeoutMs maximum time to open a connection, in milliseconds
+   * @param echoedHeader the name of the header; null if servers echo none
    */
   public static HttpClient create(EventLoopGroup group, int connectTimeoutMs, String echoedHeader) {
     Bootstrap bootstrap =
@@ -82,11 +82,12 @@
   }
 
   /**
-   * Sends a call and collects its answer.
+   * Sends a call and collects its response.
    *
-   * @param call what to send
-   * @param timeoutMs how long the whole exchange may take, in milliseconds
-   * @return the answer; ends with an {@link HttpFailure} as its cause when there is none
+   * @param call the request
+   * @param timeoutMs maximum time until the response is complete, in milliseconds
+   * @return the response; completes exceptionally with an {@link HttpFailure} if there is no
+   *     complete response
    */
   public CompletableFuture<HttpAnswer> send(HttpCall call, long timeoutMs) {
     CompletableFuture<HttpAnswer> result = new CompletableFuture<>();
@@ -95,22 +96,22 @@
   }
 
   /**
-   * Sends a call and hands on its answer part by part.
+   * Sends a call and passes its response to a listener part by part.
    *
-   * @param call what to send
-   * @param timeoutMs how long the whole exchange may take, in milliseconds
-   * @param listener what receives the answer
+   * @param call the request
+   * @param timeoutMs maximum time until the response is complete, in milliseconds
+   * @param listener receives the response
    */
   public HttpStream stream(HttpCall call, long timeoutMs, HttpStreamListener listener) {
     HttpExchange exchange = new HttpExchange(this, call, listener);
-    exchange.limit(bootstrap.config().group().next(), timeoutMs);
-    Channel kept = takeIdle(call);
-    if (kept == null) {
+    exchange.startTimeout(bootstrap.config().group().next(), timeoutMs);
+    Channel reused = takeIdle(call);
+    if (reused == null) {
       open(exchange, call.address());
-    } else if (kept.eventLoop().inEventLoop()) {
-      exchange.begin(kept);
+    } else if (reused.eventLoop().inEventLoop()) {
+      exchange.begin(reused);
     } else {
-      kept.eventLoop().execute(() -> exchange.begin(kept));
+      reused.eventLoop().execute(() -> exchange.begin(reused));
     }
     return exchange;
   }
@@ -128,13 +129,16 @@
   }
 
   private Channel takeIdle(HttpCall call) {
-    Deque<KeptConnection> kept = idle.get(call.address());
-    if (kept == null) {
+    Deque<IdleConnection> connections = idle.get(call.address());
+    if (connections == null) {
       return null;
     }
     long now = clock.millis();
-    for (KeptConnection next = kept.pollLast(); next != null; next = kept.pollLast()) {
-      if (next.channel().isActive() && call.reuse().allows(now - next.since(), next.limitMs())) {
+    for (IdleConnection next = connections.pollLast();
+        next != null;
+        next = connections.pollLast()) {
+      if (next.channel().isActive()
+          && call.reuse().allows(now - next.idleSince(), next.limitMs())) {
         return next.channel();
       }
       next.channel().close();
@@ -147,25 +151,25 @@
   }
 
   /**
-   * Keeps a connection for the next call to its address.
+   * Adds an idle connection for reuse by later calls to its address.
    *
    * @param address the server's address
    * @param channel the connection
-   * @param limitMs how long the server said it keeps the connection, in milliseconds; negative if
-   *     it did not say
+   * @param limitMs idle timeout stated by the server, in milliseconds; negative if none
    */
-  void keep(InetSocketAddress address, Channel channel, long limitMs) {
-    Deque<KeptConnection> kept = idle.computeIfAbsent(address, a -> new ConcurrentLinkedDeque<>());
-    if (kept.size() >= MAX_IDLE) {
+  void addIdle(InetSocketAddress address, Channel channel, long limitMs) {
+    Deque<IdleConnection> connections =
+        idle.computeIfAbsent(address, a -> new ConcurrentLinkedDeque<>());
+    if (connections.size() >= MAX_IDLE_PER_ADDRESS) {
       channel.close();
     } else {
-      kept.addLast(new KeptConnection(channel, clock.millis(), limitMs));
+      connections.addLast(new IdleConnection(channel, clock.millis(), limitMs));
     }
   }
 
-  private record KeptConnection(Channel channel, long since, long limitMs) {}
+  private record IdleConnection(Channel channel, long idleSince, long limitMs) {}
 
-  /** Collects the parts of one answer. */
+  /** Collects the parts of one response. */
   private static final class Collector implements HttpStreamListener {
 
     private final CompletableFuture<HttpAnswer> result;
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpClientHandler.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpClientHandler.java
@@ -10,18 +10,18 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Hands what arrives on one client connection to the exchange under way; used on its event loop.
+ * Passes what one client connection receives to the exchange in progress; used on its event loop.
  */
 final class HttpClientHandler extends SimpleChannelInboundHandler<HttpObject> {
 
   private static final int FIRST_FINAL_STATUS = 200;
 
   private HttpExchange current;
-  private boolean skipping;
+  private boolean discarding;
 
   void expect(HttpExchange exchange) {
     current = exchange;
-    skipping = false;
+    discarding = false;
   }
 
   @Override
@@ -41,10 +41,10 @@
 
   private void begin(HttpExchange exchange, HttpResponse head) {
     if (head.status().code() < FIRST_FINAL_STATUS) {
-      skipping = true;
-    } else if (!exchange.isMine(head.headers())) {
-      skipping = true;
-      exchange.tainted();
+      discarding = true;
+    } else if (!exchange.matchesRequest(head.headers())) {
+      discarding = true;
+      exchange.markNotReusable();
     } else {
       exchange.head(head.status().code(), head.headers(), HttpUtil.isKeepAlive(head));
     }
@@ -52,8 +52,8 @@
 
   private void read(HttpExchange exchange, HttpContent content) {
     boolean last = content instanceof LastHttpContent;
-    if (skipping) {
-      skipping = !last;
+    if (discarding) {
+      discarding = !last;
       return;
     }
     if (content.content().isReadable()) {
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Ends the exchange before the codec hears of the close: an answer without a length ends with its
-   * connection, and one that was cut by a reset would else count as whole.
+   * Fails the exchange before the codec handles the close. A response without a length ends with
+   * its connection, so a response truncated by a reset would otherwise be taken as complete.
    */
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpExchange.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpExchange.java
@@ -18,27 +18,28 @@
 import java.util.regex.Pattern;
 
 /**
- * Carries one HTTP request and its answer over one connection.
+ * Sends one HTTP request over one connection and receives its response.
  *
- * <p>Safe for use by several threads: whoever first ends the exchange tells the listener.
+ * <p>Thread-safe: only the first of completion, failure and cancellation takes effect, so the
+ * listener receives at most one final event.
  */
 final class HttpExchange implements HttpStream {
 
-  private static final long UNSTATED = -1;
+  private static final long NO_KEEP_ALIVE_LIMIT = -1;
   private static final String KEEP_ALIVE = "Keep-Alive";
   private static final Pattern KEEP_ALIVE_SECONDS = Pattern.compile("timeout=(\\d{1,6})");
 
   private final HttpClient client;
   private final HttpCall call;
   private final HttpStreamListener listener;
-  private final AtomicBoolean over = new AtomicBoolean();
+  private final AtomicBoolean completed = new AtomicBoolean();
   private volatile Channel channel;
   private volatile boolean written;
-  private volatile Future<?> limit;
+  private volatile Future<?> timeoutTask;
   private volatile boolean flushed;
   private boolean keepAlive = true;
-  private boolean tainted;
-  private long keepAliveMs = UNSTATED;
+  private boolean notReusable;
+  private long keepAliveMs = NO_KEEP_ALIVE_LIMIT;
 
   HttpExchange(HttpClient client, HttpCall call, HttpStreamListener listener) {
     this.client = client;
@@ -46,18 +47,20 @@
     this.listener = listener;
   }
 
-  void limit(io.netty.channel.EventLoopGroup group, long timeoutMs) {
+  void startTimeout(io.netty.channel.EventLoopGroup group, long timeoutMs) {
     EventLoop loop = (EventLoop) group.next();
-    limit = loop.schedule(this::timeout, timeoutMs, TimeUnit.MILLISECONDS);
+    timeoutTask = loop.schedule(this::onTimeout, timeoutMs, TimeUnit.MILLISECONDS);
   }
 
-  private void timeout() {
+  private void onTimeout() {
     Channel current = channel;
-    fail(new HttpFailure("no whole answer in time: " + call, written));
+    fail(new HttpFailure("timed out before the response was complete: " + call, written));
     abandon(current);
   }
 
-  /** Closes a connection whose answer nobody waits for, by a reset where the call asks for it. */
+  /**
+   * Closes the connection of a cancelled or timed out call, with a reset if the call requires it.
+   */
   private void abandon(Channel connection) {
     if (connection != null) {
       if (call.resetsIfAbandoned()) {
@@ -69,7 +72,7 @@
 
   void begin(Channel opened) {
     channel = opened;
-    if (over.get()) {
+    if (completed.get()) {
       opened.close();
       return;
     }
@@ -105,70 +108,70 @@
   }
 
   void head(int status, HttpHeaders headers, boolean keepConnection) {
-    keepAlive = keepConnection && !tainted;
-    keepAliveMs = statedLimitMs(headers);
-    if (!over.get()) {
+    keepAlive = keepConnection && !notReusable;
+    keepAliveMs = keepAliveLimitMs(headers);
+    if (!completed.get()) {
       listener.started(status, headers);
     }
   }
 
   void part(byte[] bytes) {
-    if (!over.get()) {
+    if (!completed.get()) {
       listener.received(bytes);
     }
   }
 
-  private static long statedLimitMs(HttpHeaders headers) {
+  private static long keepAliveLimitMs(HttpHeaders headers) {
     String stated = headers.get(KEEP_ALIVE);
     Matcher seconds = stated == null ? null : KEEP_ALIVE_SECONDS.matcher(stated);
     return seconds != null && seconds.find()
         ? TimeUnit.SECONDS.toMillis(Long.parseLong(seconds.group(1)))
-        : UNSTATED;
+        : NO_KEEP_ALIVE_LIMIT;
   }
 
   /**
-   * Ends the exchange with a whole answer. A server may answer before it has read a long body; the
-   * rest of that body would be read as the next request, so such a connection is not kept.
+   * Completes the exchange. A server may respond before it has read a long request body; the rest
+   * of that body would be read as the next request, so such a connection is not reused.
    */
   void end() {
     if (keepAlive && flushed) {
       channel.config().setAutoRead(true);
-      client.keep(call.address(), channel, keepAliveMs);
+      client.addIdle(call.address(), channel, keepAliveMs);
     } else {
       channel.close();
     }
-    if (over.compareAndSet(false, true)) {
-      cancelLimit();
+    if (completed.compareAndSet(false, true)) {
+      cancelTimeout();
       listener.ended();
     }
   }
 
   void fail(HttpFailure failure) {
-    if (over.compareAndSet(false, true)) {
-      cancelLimit();
+    if (completed.compareAndSet(false, true)) {
+      cancelTimeout();
       listener.failed(failure);
     }
   }
 
-  /** Tells whether an answer is for this call, where servers repeat a header of the request. */
-  boolean isMine(HttpHeaders headers) {
+  /** Returns false if the response echoes a request header with the value of another request. */
+  boolean matchesRequest(HttpHeaders headers) {
     String name = client.echoedHeader();
     String sent = name == null ? null : call.headers().get(name);
     String echoed = sent == null ? null : headers.get(name);
     return echoed == null || echoed.equals(sent);
   }
 
-  /** Notes that the connection carried an answer to another request; it is not kept any more. */
-  void tainted() {
-    tainted = true;
+  /** Excludes the connection from reuse, since it carried a response to another request. */
+  void markNotReusable() {
+    notReusable = true;
   }
 
   void closed() {
-    fail(new HttpFailure("connection closed before the answer was whole: " + call, written));
+    fail(new HttpFailure("connection closed before the response was complete: " + call, written));
   }
 
-  private void cancelLimit() {
-    Future<?> pending = limit;
+  private void cancelTimeout() {
+    Future<?> pending = timeoutTask;
     if (pending != null) {
       pending.cancel(false);
     }
@@ -177,7 +180,7 @@
   @Override
   public void pause() {
     Channel current = channel;
-    if (current != null && !over.get()) {
+    if (current != null && !completed.get()) {
       current.config().setAutoRead(false);
     }
   }
@@ -192,8 +195,8 @@
 
   @Override
   public void cancel() {
-    if (over.compareAndSet(false, true)) {
-      cancelLimit();
+    if (completed.compareAndSet(false, true)) {
+      cancelTimeout();
       abandon(channel);
     }
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpFailure.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpFailure.java
@@ -1,7 +1,8 @@
 package io.sequoiapass.daemon.connection;
 
 /**
- * Tells that an HTTP call got no whole answer, and whether its request may have reached the server.
+ * Thrown when an HTTP call has no complete response; reports whether its request may have reached
+ * the server.
  */
 public final class HttpFailure extends Exception {
 
@@ -10,17 +11,17 @@
   private final boolean mayHaveReached;
 
   /**
-   * Makes a failure.
+   * Creates a failure.
    *
-   * @param message what happened
-   * @param mayHaveReached whether any byte of the request was handed to a connection
+   * @param message the cause
+   * @param mayHaveReached whether any byte of the request was passed to a connection
    */
   public HttpFailure(String message, boolean mayHaveReached) {
     super(message);
     this.mayHaveReached = mayHaveReached;
   }
 
-  /** Returns false only if no byte of the request was handed to a connection. */
+  /** Returns false only if no byte of the request was passed to a connection. */
   public boolean mayHaveReached() {
     return mayHaveReached;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpFault.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpFault.java
@@ -1,8 +1,8 @@
 package io.sequoiapass.daemon.connection;
 
-/** Names what is wrong with a request that HTTP itself refuses. */
+/** Reason for which a request is rejected at the HTTP layer. */
 public enum HttpFault {
-  /** The request is no HTTP. */
+  /** The request is not valid HTTP. */
   MALFORMED(400),
   /** The request line is too long. */
   LINE_TOO_LONG(414),
@@ -17,7 +17,7 @@
     this.status = status;
   }
 
-  /** Returns the status code to answer with. */
+  /** Returns the status code of the response. */
   public int status() {
     return status;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpHandler.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpHandler.java
@@ -2,23 +2,23 @@
 
 import java.util.Map;
 
-/** Answers the requests of a server; called on event loops, so it must not block. */
+/** Handles the requests of a server; called on event loops, so it must not block. */
 @FunctionalInterface
 public interface HttpHandler {
 
   /**
-   * Answers one request, now or later.
+   * Handles one request; the response may be sent after this method returns.
    *
    * @param request the request
-   * @param responder what sends the answer
+   * @param responder sends the response
    */
   void handle(HttpRequestMessage request, HttpResponder responder);
 
   /**
-   * Answers what could not be read as a request; the connection is closed afterwards.
+   * Responds to an invalid request; the connection is closed afterwards.
    *
-   * @param fault what is wrong
-   * @param responder what sends the answer
+   * @param fault the reason for the rejection
+   * @param responder sends the response
    */
   default void refuse(HttpFault fault, HttpResponder responder) {
     responder.respond(fault.status(), Map.of(), "{\"error\":\"" + fault + "\"}");
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpRequestMessage.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpRequestMessage.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * Holds one whole HTTP request as a server received it.
+ * A complete HTTP request as received by a server.
  *
  * @param method the HTTP method
- * @param target path and query as sent
+ * @param target the path and query as sent
  * @param headers the headers
  * @param body the body
  */
-// Requests are never compared, so the array's identity in equals does no harm.
+// Requests are never compared, so array identity in equals is harmless.
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpRequestMessage(String method, String target, HttpHeaders headers, byte[] body) {
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpResponder.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpResponder.java
@@ -3,33 +3,33 @@
 import java.util.Map;
 
 /**
- * Sends the answer to one request: either {@link #respond}, or {@link #begin}, {@link #write} and
+ * Sends the response to one request: either {@link #respond}, or {@link #begin}, {@link #write} and
  * {@link #end}.
  *
- * <p>Safe for use by several threads; calls after the connection closed do nothing.
+ * <p>Thread-safe; calls after the connection has closed have no effect.
  */
 public interface HttpResponder {
 
   /**
-   * Sends a whole answer.
+   * Sends a complete response.
    *
    * @param status the status code
-   * @param headers headers besides the length
+   * @param headers headers other than the length
    * @param body the body
    */
   void respond(int status, Map<String, String> headers, byte[] body);
 
   /**
-   * Sends a whole answer in JSON.
+   * Sends a complete response with a JSON body.
    *
    * @param status the status code
-   * @param headers headers besides type and length
+   * @param headers headers other than type and length
    * @param json the body
    */
   void respond(int status, Map<String, String> headers, String json);
 
   /**
-   * Sends the head of an answer whose body follows in parts.
+   * Sends the head of a response whose body follows in parts.
    *
    * @param status the status code
    * @param headers the headers
@@ -46,23 +46,23 @@
   /** Ends the body. */
   void end();
 
-  /** Closes the connection without ending the body, so that the reader knows it is short. */
+  /** Closes the connection without ending the body, so that the client detects the truncation. */
   void abort();
 
-  /** Returns whether the connection takes more without queueing in memory. */
+  /** Returns whether the write buffer is below its high watermark. */
   boolean writable();
 
   /**
-   * Registers what runs each time the connection takes more again.
+   * Sets the action to run each time the connection becomes writable again.
    *
-   * @param action what to run, on the event loop
+   * @param action the action; runs on the event loop
    */
   void onWritable(Runnable action);
 
   /**
-   * Registers what runs once if the connection closes before the answer ended.
+   * Sets the action to run once if the connection closes before the response has ended.
    *
-   * @param action what to run, on the event loop
+   * @param action the action; runs on the event loop
    */
   void onClose(Runnable action);
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpServer.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpServer.java
@@ -23,7 +23,7 @@
 import java.util.function.Supplier;
 
 /**
- * Serves HTTP/1.1 on one address.
+ * An HTTP/1.1 server on one address.
  *
  * <pre>{@code
  * HttpServer server = HttpServer.builder(group, handler)
@@ -31,43 +31,44 @@
  *     .start(new InetSocketAddress("127.0.0.1", 0));
  * }</pre>
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class HttpServer implements AutoCloseable {
 
   /**
-   * The system would let each connection of a slow caller hold some megabytes, and thousands of
-   * them all memory of a small host; what a caller reads in a few milliseconds is enough.
+   * The system default lets each connection of a slow client hold some megabytes, so thousands of
+   * them could take all memory of a small host. This size holds what a client reads in a few
+   * milliseconds.
    */
   private static final int SEND_BUFFER_BYTES = 64 * 1024;
 
-  /** Parts of an answer that one system call may carry. */
-  private static final int MAX_JOINED_FLUSHES = 64;
+  /** Maximum number of response parts written by one system call. */
+  private static final int MAX_CONSOLIDATED_FLUSHES = 64;
 
-  private static final int WRITE_LOW_BYTES = 16 << 10;
-  private static final int WRITE_HIGH_BYTES = 64 << 10;
+  private static final int WRITE_LOW_WATERMARK_BYTES = 16 << 10;
+  private static final int WRITE_HIGH_WATERMARK_BYTES = 64 << 10;
 
   private final Channel listening;
   private final ChannelGroup connections;
   private final AtomicBoolean closing;
-  private final Map<EventLoop, LoopPulse> pulses;
+  private final Map<EventLoop, EventLoopStallDetector> stallDetectors;
 
   private HttpServer(
       Channel listening,
       ChannelGroup connections,
       AtomicBoolean closing,
-      Map<EventLoop, LoopPulse> pulses) {
+      Map<EventLoop, EventLoopStallDetector> stallDetectors) {
     this.listening = listening;
     this.connections = connections;
     this.closing = closing;
-    this.pulses = pulses;
+    this.stallDetectors = stallDetectors;
   }
 
   /**
    * Returns a builder.
    *
    * @param group the event loops to run on
-   * @param handler what answers
+   * @param handler handles the requests
    */
   public static Builder builder(EventLoopGroup group, HttpHandler handler) {
     return new Builder(group, handler);
@@ -78,32 +79,32 @@
     return ((InetSocketAddress) listening.localAddress()).getPort();
   }
 
-  /** Returns how many connections are open. */
+  /** Returns the number of open connections. */
   public int openConnections() {
     return connections.size();
   }
 
-  /** Closes each connection after the answer that is under way or comes next on it. */
+  /** Closes each connection after the response that is in progress or next on it. */
   public void closeAfterAnswers() {
     closing.set(true);
   }
 
-  /** Closes the connections on which no request is arriving or being answered. */
+  /** Closes the connections on which no request is being received or processed. */
   public void closeResting() {
     for (Channel connection : connections) {
-      ConnectionGuard guard = connection.pipeline().get(ConnectionGuard.class);
+      ConnectionTimeoutHandler timeouts = connection.pipeline().get(ConnectionTimeoutHandler.class);
       connection
           .eventLoop()
           .execute(
               () -> {
-                if (guard != null && guard.isResting()) {
+                if (timeouts != null && timeouts.isIdle()) {
                   connection.close();
                 }
               });
     }
   }
 
-  /** Stops accepting connections; those open go on. */
+  /** Stops accepting connections; open connections are unaffected. */
   public void stopAccepting() {
     listening.close().awaitUninterruptibly();
   }
@@ -112,16 +113,16 @@
   public void close() {
     stopAccepting();
     connections.close().awaitUninterruptibly();
-    pulses.values().forEach(LoopPulse::stop);
+    stallDetectors.values().forEach(EventLoopStallDetector::stop);
   }
 
-  /** Builds a server; not safe for use by several threads. */
+  /** Builds a server; not thread-safe. */
   public static final class Builder {
 
     private final EventLoopGroup group;
     private final HttpHandler handler;
     private final AtomicBoolean closing = new AtomicBoolean();
-    private final Map<EventLoop, LoopPulse> pulses = new ConcurrentHashMap<>();
+    private final Map<EventLoop, EventLoopStallDetector> stallDetectors = new ConcurrentHashMap<>();
     private int maxBodyBytes = 1 << 20;
     private int maxLineBytes = 4 << 10;
     private int maxHeaderBytes = 16 << 10;
@@ -133,9 +134,10 @@
     }
 
     /**
-     * Sets the largest body taken.
+     * Sets the maximum size of a request body.
      *
-     * @param bytes the bound in bytes
+     * @param bytes the limit in bytes
+     * @throws IllegalArgumentException if it is not positive
      */
     public Builder maxBodyBytes(int bytes) {
       if (bytes <= 0) {
@@ -146,9 +148,9 @@
     }
 
     /**
-     * Sets where the limits of a connection come from as it opens, in place of fixed ones.
+     * Sets a source of limits, read for each connection as it opens, instead of fixed limits.
      *
-     * @param source returns the limits in force
+     * @param source supplies the current limits
      */
     public Builder limits(Supplier<ConnectionLimits> source) {
       this.limits = Objects.requireNonNull(source, "source");
@@ -158,8 +160,8 @@
     /**
      * Starts listening.
      *
-     * @param address where; port 0 takes any free port
-     * @throws IOException if the address cannot be had
+     * @param address the address to listen on; port 0 selects any free port
+     * @throws IOException if the address cannot be bound
      */
     public HttpServer start(InetSocketAddress address) throws IOException {
       ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
@@ -172,14 +174,14 @@
               .childOption(ChannelOption.TCP_NODELAY, true)
               .childOption(
                   ChannelOption.WRITE_BUFFER_WATER_MARK,
-                  new WriteBufferWaterMark(WRITE_LOW_BYTES, WRITE_HIGH_BYTES))
+                  new WriteBufferWaterMark(WRITE_LOW_WATERMARK_BYTES, WRITE_HIGH_WATERMARK_BYTES))
               .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER_BYTES)
               .childHandler(initializer(connections));
       var binding = bootstrap.bind(address).awaitUninterruptibly();
       if (!binding.isSuccess()) {
         throw new IOException("cannot listen on " + address, binding.cause());
       }
-      return new HttpServer(binding.channel(), connections, closing, pulses);
+      return new HttpServer(binding.channel(), connections, closing, stallDetectors);
     }
 
     private ConnectionLimits fixedLimits() {
@@ -191,18 +193,22 @@
         @Override
         protected void initChannel(SocketChannel channel) {
           connections.add(channel);
-          channel.pipeline().addLast(new FlushConsolidationHandler(MAX_JOINED_FLUSHES, true));
+          channel.pipeline().addLast(new FlushConsolidationHandler(MAX_CONSOLIDATED_FLUSHES, true));
           ConnectionLimits bounds = limits == null ? fixedLimits() : limits.get();
-          ConnectionGuard guard = new ConnectionGuard(bounds, MillisClock.monotonic());
-          channel.pipeline().addLast(guard);
+          ConnectionTimeoutHandler timeouts =
+              new ConnectionTimeoutHandler(bounds, MillisClock.monotonic());
+          channel.pipeline().addLast(timeouts);
           channel
               .pipeline()
               .addLast(new HttpServerCodec(maxLineBytes, bounds.maxHeaderBytes(), 64 << 10));
           channel.pipeline().addLast(new BodyCollector(bounds.maxBodyBytes()));
-          LoopPulse pulse =
-              pulses.computeIfAbsent(
-                  channel.eventLoop(), loop -> LoopPulse.start(loop, MillisClock.monotonic()));
-          channel.pipeline().addLast(new HttpServerHandler(handler, guard, closing::get, pulse));
+          EventLoopStallDetector stallDetector =
+              stallDetectors.computeIfAbsent(
+                  channel.eventLoop(),
+                  loop -> EventLoopStallDetector.start(loop, MillisClock.monotonic()));
+          channel
+              .pipeline()
+              .addLast(new HttpServerHandler(handler, timeouts, closing::get, stallDetector));
         }
       };
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpServerHandler.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpServerHandler.java
@@ -15,38 +15,41 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Hands the requests of one server connection to the handler, one after another.
+ * Passes the requests of one server connection to the handler, one at a time.
  *
- * <p>Requests that a client pipelines wait until the answer before theirs has ended, since answers
- * must keep their order. Used on the connection's event loop.
+ * <p>Pipelined requests wait until the previous response has ended, since responses must keep the
+ * order of their requests. Used on the connection's event loop.
  */
 final class HttpServerHandler extends ChannelInboundHandlerAdapter {
 
-  /** Pipelined requests held for one connection; a client that sends more is cut off. */
-  private static final int MAX_WAITING = 16;
+  /** Maximum pipelined requests per connection; above it the connection is closed. */
+  private static final int MAX_PIPELINED_REQUESTS = 16;
 
   private final HttpHandler handler;
-  private final ConnectionGuard guard;
+  private final ConnectionTimeoutHandler timeouts;
   private final BooleanSupplier closing;
-  private final LoopPulse pulse;
-  private final Queue<PendingCall> waiting = new ArrayDeque<>();
+  private final EventLoopStallDetector stallDetector;
+  private final Queue<PendingRequest> pipelined = new ArrayDeque<>();
   private ServerExchange current;
   private boolean refused;
 
   /**
-   * Makes a handler.
+   * Creates a handler.
    *
-   * @param handler what answers
-   * @param guard what watches the connection's times
-   * @param closing whether the connection is to close after the next answer
-   * @param pulse the pulse of the connection's event loop
+   * @param handler handles the requests
+   * @param timeouts enforces the connection's timeouts
+   * @param closing whether the connection closes after the next response
+   * @param stallDetector the stall detector of the connection's event loop
    */
   HttpServerHandler(
-      HttpHandler handler, ConnectionGuard guard, BooleanSupplier closing, LoopPulse pulse) {
+      HttpHandler handler,
+      ConnectionTimeoutHandler timeouts,
+      BooleanSupplier closing,
+      EventLoopStallDetector stallDetector) {
     this.handler = handler;
-    this.guard = guard;
+    this.timeouts = timeouts;
     this.closing = closing;
-    this.pulse = pulse;
+    this.stallDetector = stallDetector;
   }
 
   @Override
@@ -68,7 +71,7 @@
   }
 
   private void accept(ChannelHandlerContext context, FullHttpRequest request) {
-    guard.requestArrived();
+    timeouts.requestReceived();
     if (request.decoderResult().isFailure()) {
       refuse(context, faultOf(request.decoderResult().cause()));
       return;
@@ -79,27 +82,27 @@
             request.uri(),
             request.headers().copy(),
             ByteBufUtil.getBytes(request.content()));
-    waiting.add(new PendingCall(call, HttpUtil.isKeepAlive(request)));
-    if (waiting.size() > MAX_WAITING) {
+    pipelined.add(new PendingRequest(call, HttpUtil.isKeepAlive(request)));
+    if (pipelined.size() > MAX_PIPELINED_REQUESTS) {
       context.close();
       return;
     }
-    if (pulse.isBehind()) {
-      afterNextReads(context);
+    if (stallDetector.hasRecentlyStalled()) {
+      handleAfterNextReads(context);
     } else {
-      next(context);
+      handleNext(context);
     }
   }
 
   /**
-   * Handles the request once the loop has read all connections again: if its client left while the
-   * loop stood still, the connection is closed by then and the request with it. The first task may
-   * run in the round that read the request, the second one cannot.
+   * Handles the request after the loop has read all connections again. If the client disconnected
+   * during a stall, the connection is closed by then and its request discarded. Two tasks are
+   * needed: the first may run in the loop iteration that read the request, the second cannot.
    */
-  private void afterNextReads(ChannelHandlerContext context) {
+  private void handleAfterNextReads(ChannelHandlerContext context) {
     EventExecutor loop = context.executor();
     loop.schedule(
-        () -> loop.schedule(() -> next(context), 1, TimeUnit.MILLISECONDS),
+        () -> loop.schedule(() -> handleNext(context), 1, TimeUnit.MILLISECONDS),
         1,
         TimeUnit.MILLISECONDS);
   }
@@ -119,37 +122,37 @@
     handler.refuse(fault, new ServerExchange(context, () -> false, () -> {}));
   }
 
-  private void next(ChannelHandlerContext context) {
+  private void handleNext(ChannelHandlerContext context) {
     if (current != null) {
       return;
     }
-    PendingCall call = waiting.poll();
+    PendingRequest call = pipelined.poll();
     if (call == null) {
       return;
     }
     BooleanSupplier keep = () -> call.keepAlive() && !closing.getAsBoolean();
-    current = new ServerExchange(context, keep, () -> finished(context));
+    current = new ServerExchange(context, keep, () -> responseEnded(context));
     handler.handle(call.request(), current);
   }
 
-  private void finished(ChannelHandlerContext context) {
+  private void responseEnded(ChannelHandlerContext context) {
     current = null;
-    if (waiting.isEmpty()) {
-      guard.answerEnded();
+    if (pipelined.isEmpty()) {
+      timeouts.responseEnded();
     }
-    next(context);
+    handleNext(context);
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
     if (current != null && context.channel().isWritable()) {
-      current.becameWritable();
+      current.fireWritable();
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    waiting.clear();
+    pipelined.clear();
     ServerExchange exchange = current;
     current = null;
     if (exchange != null) {
@@ -162,5 +165,5 @@
     context.close();
   }
 
-  private record PendingCall(HttpRequestMessage request, boolean keepAlive) {}
+  private record PendingRequest(HttpRequestMessage request, boolean keepAlive) {}
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpStream.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpStream.java
@@ -1,14 +1,14 @@
 package io.sequoiapass.daemon.connection;
 
-/** Controls one answer under way; safe for use by several threads. */
+/** Controls one response in progress; thread-safe. */
 public interface HttpStream {
 
-  /** Stops reading from the connection, so that the sender is held by TCP and not by our memory. */
+  /** Stops reading from the connection, so that TCP flow control holds back the sender. */
   void pause();
 
-  /** Goes on reading. */
+  /** Resumes reading. */
   void resume();
 
-  /** Closes the connection; the listener hears nothing more. */
+  /** Closes the connection; the listener receives no further events. */
   void cancel();
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpStreamListener.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpStreamListener.java
@@ -3,15 +3,16 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Receives the parts of one answer as they arrive, on the connection's event loop.
+ * Receives the parts of one response as they arrive, on the connection's event loop.
  *
- * <p>{@link #started} comes once at most, then any number of {@link #received}, then one of {@link
- * #ended} and {@link #failed}. Implementations must not block.
+ * <p>{@link #started} is called at most once, then {@link #received} any number of times, then one
+ * of {@link #ended} and {@link #failed}, unless the call is cancelled. Implementations must not
+ * block.
  */
 public interface HttpStreamListener {
 
   /**
-   * Called with the head of the answer.
+   * Called with the head of the response.
    *
    * @param status the status code
    * @param headers the headers
@@ -25,13 +26,13 @@
    */
   void received(byte[] part);
 
-  /** Called when the answer is whole. */
+  /** Called when the response is complete. */
   void ended();
 
   /**
-   * Called when the answer will not become whole.
+   * Called when the response cannot be completed.
    *
-   * @param failure what happened
+   * @param failure the cause
    */
   void failed(HttpFailure failure);
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/ReusePolicy.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/ReusePolicy.java
@@ -1,37 +1,36 @@
 package io.sequoiapass.daemon.connection;
 
 /**
- * Decides whether a kept connection may carry a call.
+ * Decides whether an idle connection may be reused for a call.
  *
- * <p>A server closes idle connections after a while. A request that crosses that close is lost, and
- * nobody can tell whether it ran, so a call that must not run twice trusts a kept connection less.
+ * <p>Servers close connections that are idle too long. A request sent while the server closes the
+ * connection is lost, and the client cannot determine whether it ran. Calls that must not run twice
+ * therefore reuse only recently used connections.
  */
 public enum ReusePolicy {
-  /** Any connection that still counts as open; for calls that may be sent again. */
+  /** Any connection that is assumed to be open; for calls that may be sent again. */
   ANY {
     @Override
     boolean allows(long idleMs, long limitMs) {
-      return limitMs < 0 ? idleMs < UNSTATED_LIMIT_MS : idleMs < limitMs * 3 / 4;
+      return limitMs < 0 ? idleMs < DEFAULT_MAX_IDLE_MS : idleMs < limitMs * 3 / 4;
     }
   },
-  /** Only a connection that was used a moment ago; for calls that must not run twice. */
+  /** Only a recently used connection; for calls that must not run twice. */
   RECENT {
     @Override
     boolean allows(long idleMs, long limitMs) {
-      return limitMs < 0 ? idleMs < UNSTATED_RECENT_MS : idleMs < limitMs / 2;
+      return limitMs < 0 ? idleMs < DEFAULT_RECENT_MAX_IDLE_MS : idleMs < limitMs / 2;
     }
   };
 
   /**
-   * How long a connection is trusted whose server states no limit, in milliseconds. Limits are
-   * stated in whole seconds, so an unstated one may be anything below a second or none at all.
+   * Maximum idle time of a connection whose server states no limit. Limits are stated in full
+   * seconds, so an unstated limit may be any time below a second, or none.
    */
-  private static final long UNSTATED_LIMIT_MS = 4_000;
+  private static final long DEFAULT_MAX_IDLE_MS = 4_000;
 
-  /**
-   * The same for calls that must not run twice, in milliseconds: half a second is a short limit.
-   */
-  private static final long UNSTATED_RECENT_MS = 400;
+  /** The same for calls that must not run twice; below half a second, which is a short limit. */
+  private static final long DEFAULT_RECENT_MAX_IDLE_MS = 400;
 
   abstract boolean allows(long idleMs, long limitMs);
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/ServerExchange.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/ServerExchange.java
@@ -20,22 +20,22 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.BooleanSupplier;
 
-/** Sends the answer to one request of one server connection; safe for use by several threads. */
+/** Sends the response to one request of one server connection; thread-safe. */
 final class ServerExchange implements HttpResponder {
 
   private final ChannelHandlerContext context;
   private final BooleanSupplier keepAlive;
-  private boolean closesAfter;
-  private final Runnable finished;
+  private boolean closeAfterResponse;
+  private final Runnable onEnded;
   private final AtomicBoolean ended = new AtomicBoolean();
   private volatile Runnable onWritable = () -> {};
   private volatile Runnable onClose = () -> {};
   private volatile boolean closed;
 
-  ServerExchange(ChannelHandlerContext context, BooleanSupplier keepAlive, Runnable finished) {
+  ServerExchange(ChannelHandlerContext context, BooleanSupplier keepAlive, Runnable onEnded) {
     this.context = context;
     this.keepAlive = keepAlive;
-    this.finished = finished;
+    this.onEnded = onEnded;
   }
 
   @Override
@@ -61,7 +61,7 @@
         new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
     headers.forEach((name, value) -> head.headers().set(name, value));
     HttpUtil.setTransferEncodingChunked(head, true);
-    markClosing(head);
+    setConnectionHeader(head);
     context.writeAndFlush(head);
   }
 
@@ -89,19 +89,19 @@
       return;
     }
     if (last instanceof HttpResponse head) {
-      markClosing(head);
+      setConnectionHeader(head);
     }
     var written = context.writeAndFlush(last);
-    if (!closesAfter) {
-      context.executor().execute(finished);
+    if (!closeAfterResponse) {
+      context.executor().execute(onEnded);
     } else {
       written.addListener(ChannelFutureListener.CLOSE);
     }
   }
 
-  private void markClosing(HttpResponse head) {
-    closesAfter = !keepAlive.getAsBoolean();
-    if (closesAfter) {
+  private void setConnectionHeader(HttpResponse head) {
+    closeAfterResponse = !keepAlive.getAsBoolean();
+    if (closeAfterResponse) {
       head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
   }
@@ -119,14 +119,14 @@
   @Override
   public void onClose(Runnable action) {
     onClose = action;
-    // The connection may have closed before the action was known; without this the caller's leaving
-    // would go unnoticed and its work would run on for nobody.
+    // The connection may have closed before the action was registered. Without this check the
+    // disconnect would go unnoticed and the request's work would continue without a client.
     if (closed && !ended.get()) {
       action.run();
     }
   }
 
-  void becameWritable() {
+  void fireWritable() {
     onWritable.run();
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/SocketAddresses.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/SocketAddresses.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** Reads addresses of the form {@code IP:port}. */
+/** Parses addresses of the form {@code IP:port}. */
 public final class SocketAddresses {
 
   private static final int MAX_PORT = 65_535;
@@ -10,10 +10,10 @@
   private SocketAddresses() {}
 
   /**
-   * Returns the address that a text names.
+   * Parses an address.
    *
-   * @param text an IP number and a port
-   * @throws IllegalArgumentException if it is not of that form
+   * @param text an IP address and a port
+   * @throws IllegalArgumentException if the text is not of that form or the port is out of range
    */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/SocketTransport.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/SocketTransport.java
@@ -16,7 +16,7 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 
 /**
- * Names the ways in which event loops wait for sockets.
+ * The I/O mechanism of event loops and their sockets.
  *
  * <pre>{@code
  * EventLoopGroup group = SocketTransport.best().group(4);
@@ -25,8 +25,8 @@
  */
 public enum SocketTransport {
   /**
-   * The kernel's epoll, called through Netty's native library. It needs a directory for temporary
-   * files, into which Netty unpacks that library at start.
+   * Linux epoll through Netty's native library. Requires a directory for temporary files, into
+   * which Netty unpacks that library at start-up.
    */
   EPOLL(EpollIoHandler.class, EpollSocketChannel.class, EpollServerSocketChannel.class) {
     @Override
@@ -35,7 +35,7 @@
     }
   },
 
-  /** The JDK's selectors, which work everywhere and cost more for each event. */
+  /** The JDK's selectors; available everywhere, with a higher cost per event. */
   NIO(NioIoHandler.class, NioSocketChannel.class, NioServerSocketChannel.class) {
     @Override
     IoHandlerFactory handlers() {
@@ -59,15 +59,15 @@
   abstract IoHandlerFactory handlers();
 
   /**
-   * Returns the cheapest way that works in this process: {@link #NIO} where the native library
-   * cannot be loaded, or was switched off by {@code -Dio.netty.transport.noNative=true}.
+   * Returns the most efficient transport available in this process: {@link #NIO} if the native
+   * library cannot be loaded or is disabled by {@code -Dio.netty.transport.noNative=true}.
    */
   public static SocketTransport best() {
     return Epoll.isAvailable() ? EPOLL : NIO;
   }
 
   /**
-   * Returns the transport that the loops of a group were made for.
+   * Returns the transport of a group's event loops.
    *
    * @param group the group
    */
@@ -76,20 +76,20 @@
   }
 
   /**
-   * Returns new event loops.
+   * Returns a new group of event loops.
    *
-   * @param threads how many
+   * @param threads the number of threads
    */
   public EventLoopGroup group(int threads) {
     return new MultiThreadIoEventLoopGroup(threads, handlers());
   }
 
-  /** Returns the type of connections that are opened. */
+  /** Returns the channel type of outgoing connections. */
   public Class<? extends SocketChannel> client() {
     return client;
   }
 
-  /** Returns the type of listening sockets. */
+  /** Returns the channel type of listening sockets. */
   public Class<? extends ServerSocketChannel> server() {
     return server;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/package-info.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What lives for one connection: HTTP with callers, endpoints and the platform; frames with peers.
+ * Connections: HTTP with callers, endpoints and the platform, and length-prefixed frames with
+ * peers.
  */
 package io.sequoiapass.daemon.connection;
--- a/daemon/src/test/java/io/sequoiapass/daemon/connection/HttpClientFaultsTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/connection/HttpClientFaultsTest.java
@@ -29,14 +29,14 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** What a server does with a connection after it has read a request. */
+  /** Action of a test server after it has read a request. */
   @FunctionalInterface
-  private interface Script {
-    void play(Socket socket, OutputStream out) throws IOException;
+  private interface ConnectionScript {
+    void run(Socket socket, OutputStream out) throws IOException;
   }
 
-  /** Serves one connection by a script, once for each request that it reads. */
-  private static InetSocketAddress server(Script script) throws IOException {
+  /** Starts a server that accepts one connection and runs the script for each request on it. */
+  private static InetSocketAddress server(ConnectionScript script) throws IOException {
     ServerSocket listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     Thread thread =
         new Thread(
@@ -44,10 +44,10 @@
               try (listening;
                   Socket socket = listening.accept()) {
                 while (readRequest(socket)) {
-                  script.play(socket, socket.getOutputStream());
+                  script.run(socket, socket.getOutputStream());
                 }
               } catch (IOException closed) {
-                // The script closed the connection; that is what the test wants.
+                // Expected: the script closed the connection.
                 assertThat(closed).isNotNull();
               }
             });
@@ -85,15 +85,15 @@
   }
 
   /**
-   * An answer without a length ends with its connection. A server that crashes resets the
-   * connection in the middle of it; taken for the end, half an answer would look whole to the
-   * caller.
+   * A response without a length ends with its connection. A server that crashes during the response
+   * resets the connection; if the reset were taken as the end, the caller would accept a truncated
+   * response as complete.
    */
   @Nested
-  class AnswerWithoutALength {
+  class ResponseWithoutLength {
 
     @Test
-    void isWholeWhenTheServerCloses() throws IOException {
+    void isCompleteWhenServerCloses() throws IOException {
       InetSocketAddress address =
           server(
               (socket, out) -> {
@@ -105,12 +105,12 @@
     }
 
     @Test
-    void isNotWholeAfterAReset() throws IOException {
+    void failsAfterReset() throws IOException {
       InetSocketAddress address =
           server(
               (socket, out) -> {
                 send(out, "HTTP/1.1 200 OK\r\n\r\nhal");
-                // The client has to have read the first part, or the reset overtakes it.
+                // The client must read the first part before the reset discards it.
                 pause();
                 socket.setSoLinger(true, 0);
                 socket.close();
@@ -129,14 +129,14 @@
   }
 
   /**
-   * A server sends a second answer to the request before, late, where the answer to the next one is
-   * due. Taken for that, one caller would get the answer of another.
+   * A server sends a late duplicate response to the previous request in place of the response to
+   * the current one. If the client accepted it, one caller would receive another caller's response.
    */
   @Nested
-  class AnswerToAnotherRequest {
+  class ResponseToAnotherRequest {
 
     @Test
-    void isPassedOver() throws IOException {
+    void isDiscarded() throws IOException {
       InetSocketAddress address =
           server(
               (socket, out) -> send(out, answer("stranger", "not yours") + answer("r1", "mine")));
@@ -145,28 +145,28 @@
     }
 
     @Test
-    void endsTheUseOfItsConnection() throws IOException {
+    void preventsReuseOfConnection() throws IOException {
       InetSocketAddress address =
           server(
               (socket, out) -> send(out, answer("stranger", "not yours") + answer("r1", "mine")));
       outcome(address, "r1");
 
-      // The only connection that the server takes is closed by now.
+      // The client has closed the only connection that the server accepts.
       assertThat(outcome(address, "r2")).isEqualTo("failed");
     }
   }
 
   /**
-   * The caller leaves, or its time is over, while the network holds the request up. After a plain
-   * close the request would still arrive and run for nobody; the server has to see a reset.
+   * The caller disconnects or times out while the network delays the request. After a plain close
+   * the request would still arrive and run without a client, so the server must receive a reset.
    */
   @Nested
   class AbandonedCall {
 
     @Test
-    void isResetWhenItsTimeIsOver() throws Exception {
+    void isResetAfterTimeout() throws Exception {
       CompletableFuture<Boolean> reset = new CompletableFuture<>();
-      InetSocketAddress address = server((socket, out) -> reset.complete(seesReset(socket)));
+      InetSocketAddress address = server((socket, out) -> reset.complete(receivesReset(socket)));
       http.send(HttpCall.to(address, "GET", "/").header(ECHOED, "r1").resetIfAbandoned(), 200)
           .handle((a, failure) -> failure)
           .join();
@@ -174,7 +174,7 @@
       assertThat(reset.get(CALL_MS, TimeUnit.MILLISECONDS)).isTrue();
     }
 
-    private boolean seesReset(Socket socket) {
+    private boolean receivesReset(Socket socket) {
       try {
         return socket.getInputStream().read() >= 0;
       } catch (IOException e) {
@@ -184,7 +184,7 @@
   }
 
   @Test
-  void answerThatIsCutShortIsNoAnswer() throws IOException {
+  void truncatedResponseFails() throws IOException {
     InetSocketAddress address =
         server(
             (socket, out) -> {
--- a/daemon/src/test/java/io/sequoiapass/daemon/connection/HttpServerStandstillTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/connection/HttpServerStallTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What becomes of requests that come in while the process stands still. */
-class HttpServerStandstillTest {
+/** Handling of requests that arrive while the event loop is stalled. */
+class HttpServerStallTest {
 
-  private static final long STANDSTILL_MS = 900;
-  private static final int READ_LIMIT_MS = 10_000;
+  private static final long STALL_MS = 900;
+  private static final int READ_TIMEOUT_MS = 10_000;
 
   private final List<String> handled = new CopyOnWriteArrayList<>();
   private EventLoopGroup loops;
@@ -49,81 +49,82 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  // A client asks, gets no answer in time and leaves, while the process stands still. Awake, it
-  // finds the request before the end of the connection. Handled, the request would go to an
-  // endpoint
-  // for nobody, and the client's next try would find that endpoint busy with it.
+  // During a stall of the process a client sends a request, times out and disconnects. After the
+  // stall the server reads the request before the end of the connection. If it handled the request,
+  // an endpoint would run it without a client and be busy when the client retries.
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aRequestWhoseClientLeftMeanwhileIsNotHandled(boolean connectedBefore) throws Exception {
-    ask(open(), "/before").close();
+  void requestOfDisconnectedClientIsNotHandled(boolean connectedBefore) throws Exception {
+    send(open(), "/before").close();
     Socket early = open();
-    answered(ask(early, "/early"));
-    CountDownLatch asleep = new CountDownLatch(1);
-    Future<?> awake = standStill(asleep);
-    Socket gone = connectedBefore ? early : open();
-    ask(gone, "/gone").close();
-    try (Socket stayed = ask(open(), "/stayed")) {
-      asleep.countDown();
-      awake.sync();
-      answered(stayed);
+    awaitResponse(send(early, "/early"));
+    CountDownLatch release = new CountDownLatch(1);
+    Future<?> stallEnded = stallEventLoop(release);
+    Socket disconnected = connectedBefore ? early : open();
+    send(disconnected, "/gone").close();
+    try (Socket stayed = send(open(), "/stayed")) {
+      release.countDown();
+      stallEnded.sync();
+      awaitResponse(stayed);
     }
-    try (Socket last = ask(open(), "/last")) {
-      answered(last);
+    try (Socket last = send(open(), "/last")) {
+      awaitResponse(last);
     }
     assertThat(handled).contains("/early", "/stayed", "/last").doesNotContain("/gone");
   }
 
-  // One client sends three requests at once and waits for all; the standstill changes nothing of
-  // their order.
+  // A client pipelines three requests during a stall. Requests deferred after the stall could be
+  // handled out of order.
   @Test
-  void requestsOfOneConnectionKeepTheirOrder() throws Exception {
+  void pipelinedRequestsKeepTheirOrder() throws Exception {
     try (Socket client = open()) {
-      answered(ask(client, "/0"));
-      CountDownLatch asleep = new CountDownLatch(1);
-      Future<?> awake = standStill(asleep);
-      ask(ask(ask(client, "/1"), "/2"), "/3");
-      asleep.countDown();
-      awake.sync();
+      awaitResponse(send(client, "/0"));
+      CountDownLatch release = new CountDownLatch(1);
+      Future<?> stallEnded = stallEventLoop(release);
+      send(send(send(client, "/1"), "/2"), "/3");
+      release.countDown();
+      stallEnded.sync();
       for (int i = 0; i < 3; i++) {
-        answered(client);
+        awaitResponse(client);
       }
     }
     assertThat(handled).containsExactly("/0", "/1", "/2", "/3");
   }
 
-  /** Returns once the loop stands still: a request sent after that is read after the standstill. */
-  private Future<?> standStill(CountDownLatch until) throws InterruptedException {
-    CountDownLatch begun = new CountDownLatch(1);
-    Future<?> awake =
+  /**
+   * Stalls the event loop and returns once it is stalled, so later requests are read afterwards.
+   */
+  private Future<?> stallEventLoop(CountDownLatch release) throws InterruptedException {
+    CountDownLatch stalled = new CountDownLatch(1);
+    Future<?> stallEnded =
         loops.submit(
             () -> {
-              begun.countDown();
-              until.await();
-              TimeUnit.MILLISECONDS.sleep(STANDSTILL_MS);
+              stalled.countDown();
+              release.await();
+              TimeUnit.MILLISECONDS.sleep(STALL_MS);
               return null;
             });
-    begun.await();
-    return awake;
+    stalled.await();
+    return stallEnded;
   }
 
   private Socket open() throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port());
-    socket.setSoTimeout(READ_LIMIT_MS);
+    socket.setSoTimeout(READ_TIMEOUT_MS);
     return socket;
   }
 
-  private static Socket ask(Socket socket, String path) throws IOException {
+  private static Socket send(Socket socket, String path) throws IOException {
     String head = "GET " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
     socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
     return socket;
   }
 
-  private static void answered(Socket socket) throws IOException {
+  private static void awaitResponse(Socket socket) throws IOException {
     StringBuilder answer = new StringBuilder();
     while (answer.indexOf("\r\n\r\n{}") < 0) {
       int next = socket.getInputStream().read();
-      assertThat(next).as("the answer goes on after %s", answer).isNotNegative();
+      assertThat(next).as("the response continues after %s", answer).isNotNegative();
       answer.append((char) next);
     }
   }
--- a/daemon/src/test/java/io/sequoiapass/daemon/connection/SocketTransportTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/connection/SocketTransportTest.java
@@ -12,7 +12,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void isToldFromTheLoopsThatItMade(SocketTransport transport) {
+  void isDetectedFromItsEventLoopGroup(SocketTransport transport) {
     if (transport == SocketTransport.EPOLL && SocketTransport.best() != transport) {
       return;
     }
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void bestWorksHere() {
+  void bestTransportRunsTasks() {
     EventLoopGroup group = SocketTransport.best().group(1);
     try {
       assertThat(group.submit(() -> 7)).succeedsWithin(5, TimeUnit.SECONDS).isEqualTo(7);
