--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/EventLoopStallDetector.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/EventLoopStallDetector.java
@@ -10,7 +10,8 @@
  * process.
  *
  * <pre>{@code
- * EventLoopStallDetector detector = EventLoopStallDetector.start(channel.eventLoop(), MillisClock.monotonic());
+ * EventLoopStallDetector detector =
+ *     EventLoopStallDetector.start(channel.eventLoop(), MillisClock.monotonic());
  * if (detector.hasRecentlyStalled()) { ... the client may have disconnected ... }
  * }</pre>
  *
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpStream.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpStream.java
@@ -3,7 +3,10 @@
 /** Controls one response in progress; thread-safe. */
 public interface HttpStream {
 
-  /** Stops reading from the connection, so that TCP flow control holds back the sender. */
+  /**
+   * Stops reading from the connection. TCP flow control then holds back the sender, so the response
+   * does not queue in memory.
+   */
   void pause();
 
   /** Resumes reading. */
