--- a/daemon/src/test/java/io/sequoiapass/daemon/connection/HttpServerStallTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/connection/HttpServerStallTest.java
@@ -91,9 +91,7 @@
     assertThat(handled).containsExactly("/0", "/1", "/2", "/3");
   }
 
-  /**
-   * Stalls the event loop and returns once it is stalled, so later requests are read afterwards.
-   */
+  /** Returns once the event loop is stalled: requests sent later are read after the stall. */
   private Future<?> stallEventLoop(CountDownLatch release) throws InterruptedException {
     CountDownLatch stalled = new CountDownLatch(1);
     Future<?> stallEnded =
