--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineClient.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineClient.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Speaks the engines' protocol.
+ * HTTP client of the engine protocol.
  *
  * <pre>{@code
  * EngineClient engines = new EngineClient(http);
@@ -26,12 +26,13 @@
  */
 public final class EngineClient {
 
-  /** How long an order other than a load may take; an engine answers these within a step. */
+  /** Timeout of every call but a load; an engine answers these within one step. */
   private static final long ORDER_TIMEOUT_MS = 2_000;
 
   /**
-   * How long a load may take. A load alone takes a quarter of a second and ten at once share the
-   * speed; beyond this the load hangs, and waiting longer would only hold its requests.
+   * Timeout of a load. A single load takes a quarter of a second, and ten concurrent loads share
+   * the bandwidth. A load that takes longer hangs, and waiting longer would only delay the requests
+   * that need it.
    */
   private static final long LOAD_TIMEOUT_MS = 10_000;
 
@@ -39,9 +40,9 @@
   private final Gson gson = new Gson();
 
   /**
-   * Makes a client.
+   * Creates a client.
    *
-   * @param http what carries the calls
+   * @param http the HTTP client that sends the calls
    */
   public EngineClient(HttpClient http) {
     this.http = http;
@@ -50,10 +51,10 @@
   /**
    * Runs a completion.
    *
-   * @param engine where
-   * @param run what
-   * @param timeoutMs the longest that the stream may take, in milliseconds
-   * @param listener hears the stream
+   * @param engine the engine's address
+   * @param run the completion to run
+   * @param timeoutMs maximum duration of the stream, in milliseconds
+   * @param listener receives the frames and the end of the stream
    */
   public HttpStream complete(
       InetSocketAddress engine, EngineRun run, long timeoutMs, EngineStreamListener listener) {
@@ -62,13 +63,13 @@
   }
 
   /**
-   * Goes on with a stream that the engine may still have.
+   * Resumes a stream that the engine may still hold.
    *
-   * @param engine where
+   * @param engine the engine's address
    * @param request the request
-   * @param from index of the first token wanted
-   * @param timeoutMs the longest that the stream may take, in milliseconds
-   * @param listener hears the stream
+   * @param from index of the first token to send
+   * @param timeoutMs maximum duration of the stream, in milliseconds
+   * @param listener receives the frames and the end of the stream
    */
   public HttpStream resume(
       InetSocketAddress engine,
@@ -83,9 +84,9 @@
   /**
    * Cancels a stream.
    *
-   * @param engine where
+   * @param engine the engine's address
    * @param request the request
-   * @return ends once the engine answered, whether it knew the stream or not
+   * @return completes once the engine has answered, even if it holds no such stream
    */
   public CompletableFuture<Void> cancel(InetSocketAddress engine, RequestId request) {
     HttpCall call = HttpCall.to(engine, "DELETE", "/v1/streams/" + request);
@@ -93,12 +94,13 @@
   }
 
   /**
-   * Orders a load.
+   * Orders the engine to load an adapter.
    *
-   * @param engine where
+   * @param engine the engine's address
    * @param fence the owner's fencing number
-   * @param adapter what to load
-   * @return the handle; ends with {@link EngineOrderException} as its cause when refused
+   * @param adapter the adapter and version to load
+   * @return the handle of the load; fails with {@link EngineOrderException} as its cause if the
+   *     engine refuses
    */
   public CompletableFuture<String> load(
       InetSocketAddress engine, FencingNumber fence, AdapterVersion adapter) {
@@ -111,11 +113,11 @@
   }
 
   /**
-   * Orders an unload.
+   * Orders the engine to unload an adapter.
    *
-   * @param engine where
+   * @param engine the engine's address
    * @param fence the owner's fencing number
-   * @param handle the load to undo
+   * @param handle the handle of the load to release
    */
   public CompletableFuture<Void> unload(
       InetSocketAddress engine, FencingNumber fence, String handle) {
@@ -125,14 +127,14 @@
   }
 
   /**
-   * Asks what the engine holds and runs.
+   * Reads the adapters that the engine holds and the streams that it runs.
    *
-   * @param engine where
+   * @param engine the engine's address
    */
   public CompletableFuture<EngineState> state(InetSocketAddress engine) {
     HttpCall call = HttpCall.to(engine, "GET", "/v1/state");
     return http.send(call, ORDER_TIMEOUT_MS)
-        .thenApply(EngineClient::accepted)
+        .thenApply(EngineClient::requireOk)
         .thenApply(answer -> gson.fromJson(answer.text(), EngineState.class));
   }
 
@@ -146,10 +148,10 @@
   private CompletableFuture<HttpAnswer> send(
       InetSocketAddress engine, JsonObject order, long timeoutMs) {
     HttpCall call = HttpCall.to(engine, "POST", "/v1/orders").body(gson.toJson(order));
-    return http.send(call, timeoutMs).thenApply(EngineClient::accepted);
+    return http.send(call, timeoutMs).thenApply(EngineClient::requireOk);
   }
 
-  private static HttpAnswer accepted(HttpAnswer answer) {
+  private static HttpAnswer requireOk(HttpAnswer answer) {
     if (!answer.ok()) {
       throw new CompletionException(new EngineOrderException(refusal(new Gson(), answer.text())));
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineFrame.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineFrame.java
@@ -6,9 +6,8 @@
 import io.sequoiapass.coordination.VersionId;
 
 /**
- * Is one event of an engine's stream, as Gson reads it: a token, or with {@code done} the end.
- *
- * <p>Not changed once read.
+ * One event of an engine's stream: a token or, if {@code done} is set, the end. Read by Gson and
+ * not modified afterwards.
  */
 public final class EngineFrame {
 
@@ -26,17 +25,17 @@
   @SerializedName("stalled_ms")
   private long stalledMs;
 
-  /** Returns the request that the engine says it answers; null if it names none. */
+  /** Returns the request ID that the engine reports; null if it reports none. */
   public String requestId() {
     return requestId;
   }
 
-  /** Returns the attempt that the engine says it answers. */
+  /** Returns the attempt number that the engine reports. */
   public int attempt() {
     return attempt;
   }
 
-  /** Returns the token's place in the answer, from 0. */
+  /** Returns the index of the token in the answer, from 0. */
   public int index() {
     return index;
   }
@@ -51,20 +50,22 @@
     return done;
   }
 
-  /** Returns the length of the whole answer, at its end. */
+  /** Returns the length of the complete answer in tokens; set in the last frame. */
   public int tokens() {
     return tokens;
   }
 
-  /** Returns how long the request waited for its adapter, in milliseconds, at the end. */
+  /**
+   * Returns how long the request waited for its adapter, in milliseconds; set in the last frame.
+   */
   public long stalledMs() {
     return stalledMs;
   }
 
   /**
-   * Returns the adapter and version that the engine says it ran on.
+   * Returns the adapter and version that the engine reports to have run.
    *
-   * @throws IllegalArgumentException if the engine names none
+   * @throws IllegalArgumentException if the engine reports none
    */
   public AdapterVersion ranOn() {
     return new AdapterVersion(new AdapterId(adapter), new VersionId(version));
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineOrderException.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineOrderException.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.daemon.connection.engine;
 
-/** Tells that an engine refused an order. */
+/** Thrown when an engine refuses an order. */
 public final class EngineOrderException extends Exception {
 
   private static final long serialVersionUID = 1L;
@@ -12,7 +12,7 @@
     this.refusal = refusal;
   }
 
-  /** Returns why. */
+  /** Returns the reason for the refusal. */
   public EngineRefusal refusal() {
     return refusal;
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineRefusal.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineRefusal.java
@@ -1,22 +1,22 @@
 package io.sequoiapass.daemon.connection.engine;
 
-/** Lists why an engine does not take a request or order. */
+/** Reason why an engine refuses a request or an order. */
 public enum EngineRefusal {
   /** The adapter and version are not loaded under this handle. */
   NOT_LOADED("not_loaded"),
-  /** The engine runs as many streams as it can. */
+  /** The engine runs its maximum number of streams. */
   BUSY("busy"),
   /** No slot is free. */
   NO_SLOT("no_slot"),
   /** The weights could not be loaded. */
   LOAD_FAILED("load_failed"),
-  /** The order's fencing number is older than one seen. */
+  /** The engine has seen a higher fencing number than the order's. */
   STALE_FENCE("stale_fence"),
-  /** The handle names no load, or a former one. */
+  /** The handle belongs to no current load. */
   NO_SUCH_HANDLE("no_such_handle"),
-  /** The engine knows no such stream. */
+  /** The engine holds no such stream. */
   NO_SUCH_STREAM("no_such_stream"),
-  /** Anything else. */
+  /** Any other error. */
   OTHER("");
 
   private final String code;
@@ -25,7 +25,7 @@
     this.code = code;
   }
 
-  /** Returns the refusal of an error code of the engine's protocol. */
+  /** Returns the refusal for an error code of the engine protocol; {@link #OTHER} if unknown. */
   static EngineRefusal of(String code) {
     for (EngineRefusal refusal : values()) {
       if (refusal.code.equals(code)) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineRun.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineRun.java
@@ -3,17 +3,17 @@
 import com.google.gson.annotations.SerializedName;
 
 /**
- * Is the body of a completion call to an engine, as Gson writes it.
+ * Body of a completion call to an engine, written by Gson.
  *
- * @param requestId the request
- * @param attempt the attempt
+ * @param requestId the request ID
+ * @param attempt the attempt number
  * @param adapter the adapter
  * @param version its version
- * @param handle the load to run on
+ * @param handle the handle of the loaded adapter
  * @param prompt the prompt
- * @param maxTokens the most tokens to generate
+ * @param maxTokens maximum number of tokens to generate
  * @param priority 0 for the most urgent
- * @param resumeFrom index of the first token wanted
+ * @param resumeFrom index of the first token to send
  */
 public record EngineRun(
     @SerializedName("request_id") String requestId,
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineState.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineState.java
@@ -4,9 +4,8 @@
 import java.util.List;
 
 /**
- * Is what an engine holds and runs at one moment, as Gson reads it; exact, unlike its load reports.
- *
- * <p>Not changed once read.
+ * Snapshot of the slots and streams of an engine; exact, unlike its load reports. Read by Gson and
+ * not modified afterwards.
  */
 public final class EngineState {
 
@@ -15,7 +14,7 @@
   private List<Slot> slots = List.of();
   private List<Running> running = List.of();
 
-  /** Returns a text that changes with each start of the engine. */
+  /** Returns an identifier that changes with each start of the engine. */
   public String boot() {
     return boot;
   }
@@ -30,12 +29,12 @@
     return slots;
   }
 
-  /** Returns the streams that run. */
+  /** Returns the running streams. */
   public List<Running> running() {
     return running;
   }
 
-  /** Is one slot in use. */
+  /** A slot in use. */
   public static final class Slot {
     private String handle;
     private String adapter;
@@ -43,7 +42,7 @@
     private String state;
     private int streams;
 
-    /** Returns the load's handle. */
+    /** Returns the handle of the load. */
     public String handle() {
       return handle;
     }
@@ -58,18 +57,18 @@
       return version;
     }
 
-    /** Returns whether requests can run on it. */
+    /** Returns whether the adapter is loaded, so that requests can run on it. */
     public boolean ready() {
       return "READY".equals(state);
     }
 
-    /** Returns how many streams run on it. */
+    /** Returns the number of streams that run on this slot. */
     public int streams() {
       return streams;
     }
   }
 
-  /** Is one stream that runs. */
+  /** A running stream. */
   public static final class Running {
     @SerializedName("request_id")
     private String requestId;
@@ -78,17 +77,17 @@
     private String adapter;
     private String version;
 
-    /** Returns whether it runs on what a slot holds. */
+    /** Returns whether this stream runs on the adapter and version of a slot. */
     public boolean isOn(Slot slot) {
       return slot.adapter().equals(adapter) && slot.version().equals(version);
     }
 
-    /** Returns the request. */
+    /** Returns the request ID. */
     public String requestId() {
       return requestId;
     }
 
-    /** Returns the attempt. */
+    /** Returns the attempt number. */
     public int attempt() {
       return attempt;
     }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineStreamListener.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineStreamListener.java
@@ -3,33 +3,34 @@
 import java.util.List;
 
 /**
- * Hears how an engine answers one request; on the connection's event loop, must not block.
+ * Receives an engine's answer to one request. Called on the connection's event loop; must not
+ * block.
  *
- * <p>Any number of {@link #frames}, then exactly one of the others.
+ * <p>Any number of calls of {@link #frames} are followed by exactly one call of another method.
  */
 public interface EngineStreamListener {
 
   /**
-   * Called with the events that arrived together.
+   * Called with the events of one read from the connection.
    *
    * @param frames the events in order, at least one
    */
   void frames(List<EngineFrame> frames);
 
-  /** Called when the stream ended as HTTP; whether it was whole, its frames tell. */
+  /** Called when the HTTP response ended. The frames show whether the answer is complete. */
   void ended();
 
   /**
-   * Called when the engine answered that it did not take the request.
+   * Called when the engine refused the request.
    *
-   * @param refusal why
+   * @param refusal the reason
    */
   void refused(EngineRefusal refusal);
 
   /**
    * Called when the connection failed.
    *
-   * @param mayHaveReached whether the engine may have the request
+   * @param mayHaveReached whether the engine may have received the request
    */
   void lost(boolean mayHaveReached);
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineStreamReader.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineStreamReader.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads an engine's answer to one request; used on the connection's event loop. */
+/** Parses an engine's answer to one request. Used on the connection's event loop. */
 final class EngineStreamReader implements HttpStreamListener {
 
   private static final int OK = 200;
@@ -19,7 +19,7 @@
   private final EngineStreamListener listener;
   private final EventSplitter splitter;
   private final ByteArrayOutputStream refusal = new ByteArrayOutputStream();
-  private final List<EngineFrame> together = new ArrayList<>();
+  private final List<EngineFrame> batch = new ArrayList<>();
   private int status;
   private boolean broken;
 
@@ -47,19 +47,19 @@
     try {
       splitter.accept(part);
     } catch (JsonParseException | IllegalArgumentException unreadable) {
-      // What comes after an event that cannot be read may lack a token, so nothing of it counts.
+      // After an unreadable event a token may be missing, so the rest of the stream is ignored.
       broken = true;
     }
-    if (!together.isEmpty()) {
-      listener.frames(List.copyOf(together));
-      together.clear();
+    if (!batch.isEmpty()) {
+      listener.frames(List.copyOf(batch));
+      batch.clear();
     }
   }
 
   private void event(String text) {
     EngineFrame frame = gson.fromJson(text, EngineFrame.class);
     if (frame != null) {
-      together.add(frame);
+      batch.add(frame);
     }
   }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EventSplitter.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EventSplitter.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 
 /**
- * Splits the bytes of a stream of server-sent events into the text of each event.
+ * Splits a byte stream of server-sent events into the text of each event.
  *
  * <p>Not safe for use by several threads.
  */
 public final class EventSplitter {
 
-  /** Longest event taken; a token with its names is far shorter. */
+  /** Limit on the length of an event; a token with its identifiers is far shorter. */
   private static final int MAX_EVENT_BYTES = 1 << 16;
 
   private static final String DATA = "data:";
@@ -20,19 +20,19 @@
   private final Consumer<String> events;
 
   /**
-   * Makes a splitter.
+   * Creates a splitter.
    *
-   * @param events what receives the text of each event
+   * @param events receives the text of each event
    */
   public EventSplitter(Consumer<String> events) {
     this.events = events;
   }
 
   /**
-   * Takes the next bytes of the stream.
+   * Processes the next bytes of the stream.
    *
    * @param part the bytes
-   * @throws IllegalArgumentException if an event is longer than an engine ever sends
+   * @throws IllegalArgumentException if a line is longer than any event of an engine
    */
   public void accept(byte[] part) {
     int start = 0;
--- a/daemon/src/test/java/io/sequoiapass/daemon/connection/engine/EventSplitterTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/connection/engine/EventSplitterTest.java
@@ -16,9 +16,10 @@
       "data: one\n\ndata: zwölf\r\n\r\n: a comment\ndata:three\n\n"
           .getBytes(StandardCharsets.UTF_8);
 
-  // The network cuts a stream anywhere, within a character too; the events must be the same.
+  // The network may split a stream at any byte, also within a character. The events must not
+  // change.
   @Property(tries = 200, seed = "7")
-  void givesTheSameEventsWhereverTheStreamIsCut(
+  void emitsTheSameEventsForAnySplitOfTheStream(
       @ForAll @IntRange(max = 52) int first, @ForAll @IntRange(max = 52) int second) {
     int low = Math.min(Math.min(first, second), STREAM.length);
     int high = Math.min(Math.max(first, second), STREAM.length);
