--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/ControlFrames.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/ControlFrames.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.msgpack.core.MessagePacker;
 
-/** Writes and reads the fields of control frames, which are about no request. */
+/** Writes and reads the fields of control frames: those that belong to no request. */
 final class ControlFrames {
 
   private ControlFrames() {}
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/ForwardedWork.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/ForwardedWork.java
@@ -6,22 +6,22 @@
 import io.sequoiapass.coordination.request.Priority;
 import java.util.Optional;
 
-/** Is what an endpoint is asked to run; immutable and safe for use by several threads. */
+/** Work for an endpoint. Immutable and safe for use by several threads. */
 public sealed interface ForwardedWork {
 
-  /** Returns how urgent the work is. */
+  /** Returns the priority of the work. */
   Priority priority();
 
   /**
-   * Runs a completion on an engine.
+   * A completion on an engine.
    *
    * @param adapter the adapter and version
    * @param model the base model
-   * @param priority how urgent it is
-   * @param service the service on whose behalf it runs, if the caller named one
+   * @param priority the priority
+   * @param service the service on whose behalf it runs, if the caller gave one
    * @param prompt the prompt
-   * @param maxTokens the most tokens to generate
-   * @param resumeFrom index of the first token wanted; more than 0 only when a stream is resumed
+   * @param maxTokens maximum number of tokens to generate
+   * @param resumeFrom index of the first token to send; above 0 only if a stream is resumed
    */
   record Completion(
       AdapterVersion adapter,
@@ -33,7 +33,7 @@
       int resumeFrom)
       implements ForwardedWork {
 
-    /** Creates work of a caller that names no service. */
+    /** Creates a completion for a caller that gave no service. */
     public Completion(
         AdapterVersion adapter,
         ModelId model,
@@ -46,13 +46,13 @@
   }
 
   /**
-   * Calls a plain service.
+   * A call of a plain service.
    *
-   * @param priority how urgent it is
+   * @param priority the priority
    * @param method the HTTP method
    * @param path path and query
    * @param contentType the body's content type
-   * @param idempotencyKey the caller's key, or empty
+   * @param idempotencyKey the caller's idempotency key; empty if none
    * @param body the body
    */
   @SuppressWarnings("ArrayRecordComponent")
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/FrameReader.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/FrameReader.java
@@ -8,7 +8,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Reads the fields of one frame; not safe for use by several threads. */
+/** Reads the fields of one frame. Not safe for use by several threads. */
 final class FrameReader {
 
   private final MessageUnpacker in;
@@ -42,11 +42,11 @@
   }
 
   byte[] bytes() throws IOException, PeerFrameException {
-    return in.readPayload(checked(in.unpackBinaryHeader()));
+    return in.readPayload(checkedLength(in.unpackBinaryHeader()));
   }
 
   <T> List<T> list(Element<T> element) throws IOException, PeerFrameException {
-    int size = checked(in.unpackArrayHeader());
+    int size = checkedLength(in.unpackArrayHeader());
     List<T> elements = new ArrayList<>(size);
     for (int i = 0; i < size; i++) {
       elements.add(element.read(this));
@@ -54,7 +54,7 @@
     return elements;
   }
 
-  /** Reads a constant by its name: its place in the enum may differ between two releases. */
+  /** Reads an enum constant by name, since its ordinal may differ between two releases. */
   <E extends Enum<E>> E constant(Class<E> type) throws IOException {
     return Enum.valueOf(type, text());
   }
@@ -68,14 +68,15 @@
   }
 
   /**
-   * A frame may claim a length that it does not have. Allocating it would let one bad frame take
-   * all memory; no field is longer than its frame, so that bound is enough.
+   * Checks the declared length of a field before memory is allocated for it. A malformed frame may
+   * declare any length, and allocating that much could exhaust the memory. No field is longer than
+   * its frame, so the frame's length is a sufficient bound.
    */
-  private int checked(int claimed) throws PeerFrameException {
-    if (claimed < 0 || claimed > length) {
-      throw new PeerFrameException("field of " + claimed + " in a frame of " + length + " bytes");
+  private int checkedLength(int declared) throws PeerFrameException {
+    if (declared < 0 || declared > length) {
+      throw new PeerFrameException("field of " + declared + " in a frame of " + length + " bytes");
     }
-    return claimed;
+    return declared;
   }
 
   void expectEnd() throws IOException, PeerFrameException {
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/LedgerFrames.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/LedgerFrames.java
@@ -18,7 +18,10 @@
 import java.util.Set;
 import org.msgpack.core.MessagePacker;
 
-/** Writes and reads the fields of ledger frames: the kind's number, then those of the record. */
+/**
+ * Writes and reads the fields of ledger frames: the number of the kind, then the fields of the
+ * record.
+ */
 final class LedgerFrames {
 
   private static final int RESERVE = 1;
@@ -27,9 +30,9 @@
   private static final int ANSWER = 4;
   private static final int COPY = 5;
   private static final int COPIED = 6;
-  private static final int ASK_RECORDS = 7;
+  private static final int RECORDS_REQUEST = 7;
   private static final int RECORDS = 8;
-  private static final int ASK_HOLDER = 9;
+  private static final int HOLDER_QUERY = 9;
   private static final int STILL_OPEN = 10;
 
   private LedgerFrames() {}
@@ -55,18 +58,18 @@
       write(out, answer.holder());
       out.packString(answer.step().name());
       out.packString(answer.refusal().map(ErrorKind::name).orElse(""));
-    } else if (message instanceof LedgerMessage.QueryHolder ask) {
-      out.packInt(ASK_HOLDER);
-      write(out, ask.key(), ask.holder(), ask.requester());
+    } else if (message instanceof LedgerMessage.AskHolder ask) {
+      out.packInt(HOLDER_QUERY);
+      write(out, ask.key(), ask.holder(), ask.asker());
     } else if (message instanceof LedgerMessage.StillOpen open) {
       out.packInt(STILL_OPEN);
-      write(out, open.key(), open.holder(), open.requester());
+      write(out, open.key(), open.holder(), open.asker());
     } else {
-      writeBetweenHomes(out, message);
+      writeReplicaMessage(out, message);
     }
   }
 
-  private static void writeBetweenHomes(MessagePacker out, LedgerMessage message)
+  private static void writeReplicaMessage(MessagePacker out, LedgerMessage message)
       throws IOException {
     if (message instanceof LedgerMessage.Copy copy) {
       out.packInt(COPY);
@@ -76,8 +79,8 @@
       write(out, copied.by());
       out.packString(copied.key().value());
       out.packLong(copied.sequence());
-    } else if (message instanceof LedgerMessage.RequestRecords ask) {
-      out.packInt(ASK_RECORDS);
+    } else if (message instanceof LedgerMessage.AskRecords ask) {
+      out.packInt(RECORDS_REQUEST);
       write(out, ask.by());
       out.packLong(ask.view());
     } else if (message instanceof LedgerMessage.Records records) {
@@ -94,15 +97,15 @@
         write(out, loss.left());
         out.packLong(loss.remainingMillis());
       }
-      out.packBoolean(records.retentionElapsed());
+      out.packBoolean(records.seasoned());
     }
   }
 
-  private static void write(MessagePacker out, IdempotencyKey key, Holder holder, Holder asker)
+  private static void write(MessagePacker out, IdempotencyKey key, Holder holder, Holder requester)
       throws IOException {
     out.packString(key.value());
     write(out, holder);
-    write(out, asker);
+    write(out, requester);
   }
 
   private static void write(MessagePacker out, LedgerMember member) throws IOException {
@@ -145,11 +148,11 @@
       case ANSWER ->
           new LedgerMessage.Answer(
               key(in), holder(in), in.constant(LedgerMessage.Step.class), refusal(in));
-      case ASK_HOLDER -> new LedgerMessage.QueryHolder(key(in), holder(in), holder(in));
+      case HOLDER_QUERY -> new LedgerMessage.AskHolder(key(in), holder(in), holder(in));
       case STILL_OPEN -> new LedgerMessage.StillOpen(key(in), holder(in), holder(in));
       case COPY -> new LedgerMessage.Copy(record(in));
       case COPIED -> new LedgerMessage.Copied(member(in), key(in), in.longNumber());
-      case ASK_RECORDS -> new LedgerMessage.RequestRecords(member(in), in.longNumber());
+      case RECORDS_REQUEST -> new LedgerMessage.AskRecords(member(in), in.longNumber());
       case RECORDS ->
           new LedgerMessage.Records(
               member(in),
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/LocalLink.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/LocalLink.java
@@ -6,11 +6,11 @@
 import java.util.function.Supplier;
 
 /**
- * Joins the entry and the owner of one process by a pair of channels, so that both sides are
- * written once and need not know whether the other is near.
+ * A pair of channels that connects the entry and the owner within one process, so that the same
+ * code serves local and remote peers.
  *
- * <p>Messages but tokens are handed over on one event loop: their order holds, and no shard is ever
- * called from within another shard's lock. Safe for use by several threads.
+ * <p>All messages except tokens are delivered on one event loop. This preserves their order, and no
+ * shard is called while another shard's lock is held. Safe for use by several threads.
  */
 public final class LocalLink {
 
@@ -21,9 +21,9 @@
   private final End ownerSide = new End(() -> toEntry, () -> end(true));
 
   /**
-   * Makes a link.
+   * Creates a link.
    *
-   * @param group one of its loops hands messages over
+   * @param group the group whose event loop delivers the messages
    */
   public LocalLink(EventLoopGroup group) {
     this.executor = group.next();
@@ -32,8 +32,8 @@
   /**
    * Opens the link.
    *
-   * @param owner hears what the entry sends
-   * @param entry hears what the owner sends
+   * @param owner receives what the entry sends
+   * @param entry receives what the owner sends
    */
   public void open(PeerListener owner, PeerListener entry) {
     toOwner = Objects.requireNonNull(owner, "owner");
@@ -49,7 +49,10 @@
     return ofEntry ? entrySide : ownerSide;
   }
 
-  /** Is one end; what is sent here is heard by the listener with the other end to answer on. */
+  /**
+   * One end of the link. The listener of the other side receives each message together with the
+   * channel to answer on.
+   */
   private final class End implements PeerChannel {
 
     private final Supplier<PeerListener> listener;
@@ -63,8 +66,8 @@
     @Override
     public boolean send(PeerMessage message) {
       if (message instanceof PeerMessage.Tokens) {
-        // An owner sends tokens under no lock, so they need no hand-over, which would cost each of
-        // them a wake-up of another thread. What an attempt sends after its tokens still follows.
+        // An owner holds no lock while it sends tokens, so they are delivered directly: the event
+        // loop would cost a thread wake-up each. Later messages of the attempt still follow them.
         listener.get().received(other.get(), message);
       } else {
         executor.execute(() -> listener.get().received(other.get(), message));
@@ -79,7 +82,7 @@
 
     @Override
     public void close() {
-      // A process has no link to itself that could break.
+      // There is no connection to close within one process.
     }
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/NettyPeerChannel.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/NettyPeerChannel.java
@@ -2,7 +2,7 @@
 
 import io.sequoiapass.daemon.connection.FrameChannel;
 
-/** Sends messages over one Netty connection; safe for use by several threads. */
+/** A peer channel on one Netty connection. Safe for use by several threads. */
 final class NettyPeerChannel implements PeerChannel {
 
   private final FrameChannel channel;
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerCounters.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerCounters.java
@@ -3,7 +3,10 @@
 import com.codahale.metrics.Counter;
 import com.codahale.metrics.MetricRegistry;
 
-/** Counts what is sent to peers, control apart from data; safe for use by several threads. */
+/**
+ * Counts the bytes and frames sent to peers, separately for control and data. Safe for use by
+ * several threads.
+ */
 final class PeerCounters {
 
   private final Counter controlBytes;
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerFrameException.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerFrameException.java
@@ -1,12 +1,12 @@
 package io.sequoiapass.daemon.connection.peer;
 
-/** Tells that bytes from a peer are no frame of the protocol. */
+/** Thrown when bytes from a peer are not a frame of the protocol. */
 public final class PeerFrameException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes an exception.
+   * Creates an exception.
    *
    * @param message what is wrong
    */
@@ -15,10 +15,10 @@
   }
 
   /**
-   * Makes an exception.
+   * Creates an exception.
    *
    * @param message what is wrong
-   * @param cause what the decoder met
+   * @param cause the decoder's exception
    */
   public PeerFrameException(String message, Throwable cause) {
     super(message, cause);
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerFrames.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerFrames.java
@@ -19,23 +19,26 @@
 import org.msgpack.core.MessagePackException;
 
 /**
- * Turns messages into frames and back.
+ * Encodes messages as frames and decodes them.
  *
  * <pre>{@code
  * byte[] frame = PeerFrames.encode(new PeerMessage.Cancel(id));
  * PeerMessage message = PeerFrames.decode(frame);
  * }</pre>
  *
- * <p>A frame is the type's number and then the fields in the order of the record. Safe for use by
- * several threads.
+ * <p>A frame consists of the number of its type and the fields in the order of the record. Safe for
+ * use by several threads.
  */
 public final class PeerFrames {
 
-  /** Most frames carry a token; the library's own first buffer is 8 KB for each of them. */
-  private static final int FIRST_BUFFER_BYTES = 256;
+  /**
+   * Initial buffer of a packer. Most frames carry a token, and the library would allocate 8 KB
+   * each.
+   */
+  private static final int INITIAL_BUFFER_BYTES = 256;
 
-  private static final MessagePack.PackerConfig PACKERS =
-      new MessagePack.PackerConfig().withBufferSize(FIRST_BUFFER_BYTES);
+  private static final MessagePack.PackerConfig PACKER_CONFIG =
+      new MessagePack.PackerConfig().withBufferSize(INITIAL_BUFFER_BYTES);
 
   private static final int COMPLETION = 0;
   private static final int SERVICE_CALL = 1;
@@ -43,12 +46,12 @@
   private PeerFrames() {}
 
   /**
-   * Returns the frame of a message.
+   * Encodes a message as a frame.
    *
    * @param message the message
    */
   public static byte[] encode(PeerMessage message) {
-    try (MessageBufferPacker out = PACKERS.newBufferPacker()) {
+    try (MessageBufferPacker out = PACKER_CONFIG.newBufferPacker()) {
       out.packInt(message.type().number());
       write(out, message);
       return out.toByteArray();
@@ -58,10 +61,10 @@
   }
 
   /**
-   * Returns the message of a frame.
+   * Decodes a frame.
    *
    * @param frame the bytes
-   * @throws PeerFrameException if they are no frame of the protocol
+   * @throws PeerFrameException if they are not a frame of the protocol
    */
   public static PeerMessage decode(byte[] frame) throws PeerFrameException {
     FrameReader in = new FrameReader(frame);
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerHandler.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerHandler.java
@@ -3,7 +3,7 @@
 import io.sequoiapass.daemon.connection.FrameChannel;
 import io.sequoiapass.daemon.connection.FrameListener;
 
-/** Hands the messages of one connection to its listener; used on the connection's event loop. */
+/** Decodes the frames of one connection for its listener. Used on the connection's event loop. */
 final class PeerHandler implements FrameListener {
 
   private final PeerCounters counters;
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerLinks.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerLinks.java
@@ -10,17 +10,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps one connection open to each known peer, and opens it again when it closes.
+ * Keeps one connection open to each known peer and reconnects when it closes.
  *
- * <p>Requests go out over these connections and their answers come back over them, so a closed
- * connection tells at once which requests lost their owner. Safe for use by several threads.
+ * <p>Requests and their answers use the same connection, so a closed connection immediately shows
+ * which requests have lost their owner. Safe for use by several threads.
  */
 public final class PeerLinks {
 
-  /** First pause before a connection is opened again; doubles up to the maximum. */
-  private static final long MIN_PAUSE_MS = 50;
+  /** Delay before the first attempt to reconnect; doubles up to the maximum. */
+  private static final long MIN_RECONNECT_DELAY_MS = 50;
 
-  private static final long MAX_PAUSE_MS = 1_000;
+  private static final long MAX_RECONNECT_DELAY_MS = 1_000;
 
   private final PeerTransport transport;
   private final EventLoopGroup group;
@@ -29,7 +29,7 @@
   private final Map<DaemonId, Link> links = new ConcurrentHashMap<>();
   private volatile boolean stopped;
 
-  /** Hears what happens on the connections to peers, on event loops; must not block. */
+  /** Receives events of the connections to peers. Called on event loops; must not block. */
   public interface PeerEvents {
 
     /**
@@ -41,7 +41,7 @@
     void connected(DaemonId peer, PeerChannel channel);
 
     /**
-     * Called with each message that a peer sends back.
+     * Called with each message from a peer.
      *
      * @param peer the peer
      * @param channel the connection
@@ -59,12 +59,12 @@
   }
 
   /**
-   * Makes links to nobody.
+   * Creates an instance without links.
    *
    * @param transport opens connections
-   * @param group schedules pauses
-   * @param hello what each connection opens with
-   * @param events hears what happens
+   * @param group schedules attempts to reconnect
+   * @param hello the first message on each connection
+   * @param events receives the events
    */
   public PeerLinks(
       PeerTransport transport, EventLoopGroup group, PeerMessage.Hello hello, PeerEvents events) {
@@ -75,10 +75,10 @@
   }
 
   /**
-   * Keeps a connection to a peer from now on.
+   * Adds a peer and connects to it; does nothing if the peer was added before.
    *
    * @param peer the peer
-   * @param address where it listens
+   * @param address the address it listens on
    */
   public void add(DaemonId peer, InetSocketAddress address) {
     Link link = new Link(peer, address);
@@ -97,7 +97,7 @@
   }
 
   /**
-   * Closes the connection to a peer that is not heard any more; it is opened again at once.
+   * Closes the connection to a peer that sends nothing any more, and so reconnects.
    *
    * @param peer the peer
    */
@@ -105,19 +105,19 @@
     channel(peer).ifPresent(PeerChannel::close);
   }
 
-  /** Closes all connections for good. */
+  /** Closes all connections and stops reconnecting. */
   public void stop() {
     stopped = true;
     links.keySet().forEach(this::reset);
   }
 
-  /** Is the connection to one peer, over all its reopenings. */
+  /** The connection to one peer, across reconnects. */
   private final class Link implements PeerListener {
 
     private final DaemonId peer;
     private final InetSocketAddress address;
     private volatile PeerChannel channel;
-    private volatile long pauseMs = MIN_PAUSE_MS;
+    private volatile long reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
 
     Link(DaemonId peer, InetSocketAddress address) {
       this.peer = peer;
@@ -132,7 +132,7 @@
 
     @Override
     public void opened(PeerChannel opened) {
-      pauseMs = MIN_PAUSE_MS;
+      reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
       opened.send(hello);
       channel = opened;
       events.connected(peer, opened);
@@ -145,7 +145,7 @@
 
     @Override
     public void writabilityChanged(PeerChannel changed) {
-      // Requests are small against a connection's buffer; their answers come the other way.
+      // Requests are small compared to a connection's buffer; answers flow in the other direction.
     }
 
     @Override
@@ -154,8 +154,8 @@
         channel = null;
         events.disconnected(peer, closed);
       }
-      group.next().schedule(this::open, pauseMs, TimeUnit.MILLISECONDS);
-      pauseMs = Math.min(MAX_PAUSE_MS, pauseMs * 2);
+      group.next().schedule(this::open, reconnectDelayMs, TimeUnit.MILLISECONDS);
+      reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, reconnectDelayMs * 2);
     }
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerListener.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerListener.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.daemon.connection.peer;
 
-/** Hears what happens on one connection to a peer, on its event loop; must not block. */
+/** Receives the events of one connection to a peer. Called on its event loop; must not block. */
 public interface PeerListener {
 
   /**
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerMessage.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerMessage.java
@@ -17,18 +17,18 @@
 import java.util.List;
 
 /**
- * Is one frame between two daemons.
+ * A message between two daemons, sent as one frame.
  *
- * <p>Every frame about a request carries the request and the attempt, so that a frame of an attempt
- * that was given up cannot be taken for one of its successor. Instances are immutable and safe for
- * use by several threads.
+ * <p>Every message about a request carries the request and the attempt, so that a message of an
+ * abandoned attempt cannot be mistaken for one of its successor. Instances are immutable and safe
+ * for use by several threads.
  */
 public sealed interface PeerMessage {
 
-  /** Returns the type whose number stands first in the frame. */
+  /** Returns the message type; its number is the first field of the frame. */
   PeerMessageType type();
 
-  /** Is a frame about one attempt of one request. */
+  /** A message about one attempt of a request. */
   sealed interface OfAttempt extends PeerMessage {
 
     /** Returns the request and the attempt. */
@@ -36,7 +36,7 @@
   }
 
   /**
-   * Names one attempt of one request.
+   * Identifies one attempt of a request.
    *
    * @param request the request
    * @param attempt the attempt's number, from 1
@@ -44,11 +44,11 @@
   record AttemptId(RequestId request, int attempt) {}
 
   /**
-   * Opens a link: tells who calls.
+   * The first message on a connection; identifies the sender.
    *
-   * @param daemon the caller
-   * @param dataCentre where it runs
-   * @param host the host it runs on
+   * @param daemon the sender
+   * @param dataCentre the sender's data centre
+   * @param host the sender's host
    * @param incarnation a number that grows with each start of that daemon
    */
   record Hello(DaemonId daemon, DataCentreId dataCentre, HostId host, long incarnation)
@@ -60,15 +60,15 @@
   }
 
   /**
-   * Shows that a daemon lives, and what of its state others act on.
+   * Shows that a daemon is alive and reports the state that its peers act on.
    *
    * @param incarnation the sender's incarnation
    * @param draining whether the sender is stopping
    * @param configuration digest of the configuration that the sender holds
-   * @param platform what the sender knows of the platform, its lease and its ownership table
-   * @param sentMs the sender's clock, which the receiver sends back
-   * @param weightDemand how many loads the sender waits for
-   * @param cutOff whether the sender's own calls to the platform go unanswered
+   * @param platform the sender's view of the platform, its lease and its ownership table
+   * @param sentMs the sender's clock in milliseconds, which the receiver echoes
+   * @param weightDemand number of loads that the sender waits for
+   * @param cutOff whether the platform leaves the sender's own calls unanswered
    */
   record Heartbeat(
       long incarnation,
@@ -80,10 +80,10 @@
       boolean cutOff)
       implements PeerMessage {
 
-    /** Returns the same heartbeat, saying whether the sender's own calls go unanswered. */
-    public Heartbeat cutOff(boolean now) {
+    /** Returns a copy of this heartbeat with another value of {@code cutOff}. */
+    public Heartbeat cutOff(boolean newCutOff) {
       return new Heartbeat(
-          incarnation, draining, configuration, platform, sentMs, weightDemand, now);
+          incarnation, draining, configuration, platform, sentMs, weightDemand, newCutOff);
     }
 
     @Override
@@ -93,14 +93,14 @@
   }
 
   /**
-   * Hands a request to the owner of an endpoint.
+   * Forwards a request to the owner of an endpoint.
    *
    * @param id the attempt
-   * @param endpoint where the entry wants it to run
-   * @param work what to run
-   * @param mode whether the owner may run it, or only go on with a stream that the engine still has
-   * @param remainingMs milliseconds until its deadline; a span, since clocks differ
-   * @param atMostOnce whether the owner has to ask before it starts
+   * @param endpoint the endpoint that the entry selected
+   * @param work the work to run
+   * @param mode whether the owner may run it, or only resume a stream that the engine still holds
+   * @param remainingMs milliseconds until the deadline; a duration, since clocks of hosts differ
+   * @param atMostOnce whether the owner must send {@link MayStart} before it starts the work
    */
   record Forward(
       AttemptId id,
@@ -117,7 +117,7 @@
   }
 
   /**
-   * Asks the entry whether an attempt may start.
+   * Requests the entry's permission to start an attempt.
    *
    * @param id the attempt
    */
@@ -132,7 +132,7 @@
    * Answers {@link MayStart}.
    *
    * @param id the attempt
-   * @param granted whether it may start
+   * @param granted whether the attempt may start
    */
   record StartAnswer(AttemptId id, boolean granted) implements OfAttempt {
     @Override
@@ -142,10 +142,10 @@
   }
 
   /**
-   * Tells where an attempt runs, if not where the entry sent it.
+   * Reports the endpoint of an attempt that runs elsewhere than the entry selected.
    *
    * @param id the attempt
-   * @param endpoint the endpoint that it is written to
+   * @param endpoint the endpoint to which the attempt is sent
    */
   record Started(AttemptId id, EndpointId endpoint) implements OfAttempt {
     @Override
@@ -158,7 +158,7 @@
    * Carries tokens of a stream.
    *
    * @param id the attempt
-   * @param ranOn the adapter and version that the engine says it ran on
+   * @param ranOn the adapter and version that the engine reports to have run
    * @param firstIndex index of the first token, from 0
    * @param texts the tokens
    */
@@ -179,10 +179,10 @@
    * Ends a stream.
    *
    * @param id the attempt
-   * @param ranOn the adapter and version that the engine says it ran on
-   * @param tokens how many tokens the whole answer has
+   * @param ranOn the adapter and version that the engine reports to have run
+   * @param tokens number of tokens in the complete answer
    * @param stalledMs how long the request waited for its adapter, in milliseconds
-   * @param load how busy the owner's endpoints are; a hint for the entry's next requests
+   * @param load load of the owner's endpoints; a hint for the entry's next requests
    */
   record Finished(
       AttemptId id, AdapterVersion ranOn, int tokens, long stalledMs, List<EndpointLoad> load)
@@ -199,7 +199,7 @@
   }
 
   /**
-   * Carries the whole answer of a plain service.
+   * Carries the complete answer of a plain service.
    *
    * @param id the attempt
    * @param status the service's status code
@@ -219,9 +219,10 @@
    * Ends an attempt with the owner's proof that it did not run.
    *
    * @param id the attempt
-   * @param kind why it was refused
-   * @param byEndpoint whether the endpoint refused it; otherwise it never left the owner's queue
-   * @param comeBackMs when to come back, in milliseconds; 0 for the kind's default
+   * @param kind the reason for the refusal
+   * @param byEndpoint whether the endpoint refused it; otherwise the owner never sent it to an
+   *     endpoint
+   * @param comeBackMs delay before a retry, in milliseconds; 0 for the default of the kind
    */
   record Refused(AttemptId id, ErrorKind kind, boolean byEndpoint, long comeBackMs)
       implements OfAttempt {
@@ -232,7 +233,7 @@
   }
 
   /**
-   * Ends an attempt that may have run and whose answer will not become whole.
+   * Ends an attempt that may have run and whose answer stays incomplete.
    *
    * @param id the attempt
    */
@@ -244,7 +245,7 @@
   }
 
   /**
-   * Tells the owner that nobody waits for an attempt any more.
+   * Cancels an attempt whose answer is not needed any more.
    *
    * @param id the attempt
    */
@@ -256,7 +257,7 @@
   }
 
   /**
-   * Tells the owner whether the caller's connection takes more.
+   * Notifies the owner whether the caller's connection accepts more data.
    *
    * @param id the attempt
    * @param paused whether the owner should stop reading from the endpoint
@@ -272,9 +273,10 @@
    * Carries configuration objects to a peer, in the platform's JSON form.
    *
    * @param objects the objects
-   * @param complete whether they are all in which the two differ, as the answer to a request
+   * @param complete whether these are all objects in which the two daemons differ, as in the answer
+   *     to a request
    * @param ready whether the sender's own configuration is complete
-   * @param passOnTo the daemons to which the receiver passes it on
+   * @param passOnTo the daemons to which the receiver forwards the push
    */
   record ObjectsPush(List<String> objects, boolean complete, boolean ready, List<DaemonId> passOnTo)
       implements PeerMessage {
@@ -284,7 +286,7 @@
       passOnTo = List.copyOf(passOnTo);
     }
 
-    /** Returns the same push with others to pass it on to. */
+    /** Returns a copy of this push with other daemons to forward it to. */
     public ObjectsPush passedOnTo(List<DaemonId> others) {
       return new ObjectsPush(objects, complete, ready, others);
     }
@@ -296,9 +298,9 @@
   }
 
   /**
-   * Asks a peer for the configuration objects in which the two differ.
+   * Requests the configuration objects in which the sender and the receiver differ.
    *
-   * @param buckets the sums of the sender's digest, one a bucket
+   * @param buckets the checksums of the sender's digest, one per bucket
    */
   record ObjectsRequest(List<Long> buckets) implements PeerMessage {
     /** Copies the list. */
@@ -313,7 +315,7 @@
   }
 
   /**
-   * Carries what a reader of the platform's host list made of it.
+   * Carries the host hints that a reader of the platform's host list derived from it.
    *
    * @param hints the hosts that are not live
    */
@@ -338,10 +340,10 @@
   }
 
   /**
-   * Carries what changed in the ownership table of a data centre.
+   * Carries the changes of the ownership table of a data centre.
    *
    * @param dataCentre the data centre
-   * @param delta what changed
+   * @param delta the changes
    */
   record TableDelta(DataCentreId dataCentre, OwnershipDelta delta) implements PeerMessage {
     @Override
@@ -351,7 +353,7 @@
   }
 
   /**
-   * Asks a peer for what is newer in the ownership table of its data centre.
+   * Requests the changes of the peer's ownership table after a version.
    *
    * @param knownVersion the version that the sender holds
    */
@@ -363,10 +365,10 @@
   }
 
   /**
-   * Asks a peer to read or renew the sender's own lease object on the platform.
+   * Requests that a peer reads or renews the sender's own lease object on the platform.
    *
-   * @param call names the call
-   * @param operation names the write; empty for a read
+   * @param call identifies the call
+   * @param operation identifies the write; empty for a read
    * @param expectedVersion the version that the object must have
    * @param value the lease in the platform's JSON form; empty for a read
    */
@@ -382,7 +384,7 @@
    * Answers {@link RelayCall}.
    *
    * @param call the call
-   * @param result what came of it
+   * @param result the result
    * @param version the object's version; 0 if there is none
    * @param operation the operation that wrote the object, or empty
    * @param value the object's value after a read, or empty
@@ -407,15 +409,15 @@
     }
   }
 
-  /** Tells what came of a relayed call. */
+  /** Result of a relayed call. */
   enum RelayResult {
-    /** The object was read, or there is none. */
+    /** The object was read, or does not exist. */
     READ,
     /** The write was stored. */
     STORED,
     /** The object had another version. */
     CONFLICT,
-    /** No answer. */
+    /** The platform did not answer. */
     LOST
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerMessageType.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerMessageType.java
@@ -3,7 +3,7 @@
 import io.sequoiapass.coordination.EndpointId;
 import java.io.IOException;
 
-/** Numbers the kinds of frames and reads each; the numbers are part of the protocol. */
+/** Types of messages with their decoders. The numbers are part of the protocol. */
 public enum PeerMessageType {
   /** See {@link PeerMessage.Hello}. */
   HELLO(1, ControlFrames::readHello),
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerTransport.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerTransport.java
@@ -29,10 +29,10 @@
   }
 
   /**
-   * Returns a transport.
+   * Creates a transport.
    *
-   * @param group the event loops to run on
-   * @param metrics where sent bytes are counted, control apart from data
+   * @param group the event loops of the connections
+   * @param metrics counts the bytes sent, separately for control and data
    */
   public static PeerTransport create(EventLoopGroup group, MetricRegistry metrics) {
     return new PeerTransport(group, metrics);
@@ -41,10 +41,10 @@
   /**
    * Accepts connections.
    *
-   * @param address where to listen
-   * @param listeners makes the listener of each connection
+   * @param address the address to listen on
+   * @param listeners creates the listener of each connection
    * @return the port
-   * @throws IOException if the address cannot be had
+   * @throws IOException if the address cannot be bound
    */
   public int listen(InetSocketAddress address, Supplier<PeerListener> listeners)
       throws IOException {
@@ -54,8 +54,8 @@
   /**
    * Opens a connection.
    *
-   * @param address the peer
-   * @param listener hears {@code opened} on success and {@code closed} in any case
+   * @param address the peer's address
+   * @param listener receives {@code opened} on success and {@code closed} in any case
    */
   public void connect(InetSocketAddress address, PeerListener listener) {
     frames.connect(address, new PeerHandler(counters, listener));
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/TableFrames.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/TableFrames.java
@@ -14,11 +14,14 @@
 import java.util.TreeSet;
 import org.msgpack.core.MessagePacker;
 
-/** Writes and reads the frames that carry ownership tables, whole or as deltas. */
+/** Writes and reads the frames that carry complete ownership tables or deltas. */
 final class TableFrames {
 
-  /** Stands for a process that is the one of the base version; real numbers are not negative. */
-  private static final long SAME_PROCESS = -1;
+  /**
+   * Encodes an incarnation that is unchanged from the base version; incarnations are never
+   * negative.
+   */
+  private static final long SAME_INCARNATION = -1;
 
   private TableFrames() {}
 
@@ -62,7 +65,7 @@
             baseVersion, version, epoch, shares.owners, removed, shares.incarnations));
   }
 
-  /** Names each daemon once, with its endpoints: the names of daemons are the larger part. */
+  /** Writes each daemon once with its endpoints, since the daemon names take most of the space. */
   private static void writeShares(
       MessagePacker out, Map<EndpointId, DaemonId> owners, Map<DaemonId, Long> incarnations)
       throws IOException {
@@ -74,7 +77,7 @@
     out.packArrayHeader(shares.size());
     for (Map.Entry<DaemonId, Set<EndpointId>> share : shares.entrySet()) {
       out.packString(share.getKey().value());
-      out.packLong(incarnations.getOrDefault(share.getKey(), SAME_PROCESS));
+      out.packLong(incarnations.getOrDefault(share.getKey(), SAME_INCARNATION));
       writeEndpoints(out, share.getValue());
     }
   }
@@ -82,7 +85,7 @@
   private static Shares readShares(FrameReader in) throws IOException, PeerFrameException {
     Shares shares = new Shares(new TreeMap<>(), new TreeMap<>());
     for (Share share : in.list(TableFrames::readShare)) {
-      if (share.incarnation != SAME_PROCESS) {
+      if (share.incarnation != SAME_INCARNATION) {
         shares.incarnations.put(share.daemon, share.incarnation);
       }
       share.endpoints.forEach(endpoint -> shares.owners.put(endpoint, share.daemon));
@@ -107,9 +110,9 @@
     return in.list(element -> new EndpointId(element.text()));
   }
 
-  /** Is what one daemon owns, or gained. */
+  /** Endpoints of one daemon: all that it owns in a table, or those that it gained in a delta. */
   private record Share(DaemonId daemon, long incarnation, List<EndpointId> endpoints) {}
 
-  /** Is what all daemons own, or gained. */
+  /** Endpoints of all daemons: all that they own in a table, or those gained in a delta. */
   private record Shares(Map<EndpointId, DaemonId> owners, Map<DaemonId, Long> incarnations) {}
 }
--- a/daemon/src/test/java/io/sequoiapass/daemon/connection/peer/PeerFramesTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/connection/peer/PeerFramesTest.java
@@ -151,12 +151,12 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void decodeReadsWhatEncodeWrites(PeerMessage message) throws PeerFrameException {
+  void decodesEncodedMessages(PeerMessage message) throws PeerFrameException {
     assertThat(PeerFrames.decode(PeerFrames.encode(message))).isEqualTo(message);
   }
 
   @Test
-  void bodiesOfPlainServicesKeepTheirBytes() throws PeerFrameException {
+  void preservesTheBodyOfServiceAnswers() throws PeerFrameException {
     byte[] body = {0, -1, 7};
     PeerMessage.ServiceAnswer read =
         (PeerMessage.ServiceAnswer)
@@ -166,15 +166,16 @@
   }
 
   /**
-   * A peer of another release, or a stray client, sends bytes that are no frame. The connection is
-   * closed with a clear error; nothing else may come of it, neither a fault nor a large allocation.
+   * A peer of another release, or an unrelated client, sends bytes that are not a frame. Decoding
+   * must fail with PeerFrameException, which closes the connection; it must neither throw anything
+   * else nor allocate a large amount of memory.
    */
   @Nested
-  class BadFrames {
+  class MalformedFrames {
 
     @ParameterizedTest
     @MethodSource("io.sequoiapass.daemon.connection.peer.PeerFramesTest#messages")
-    void everyTruncationIsRefused(PeerMessage message) {
+    void rejectsEveryTruncatedFrame(PeerMessage message) {
       byte[] frame = PeerFrames.encode(message);
       for (int length = 0; length < frame.length; length++) {
         byte[] cut = Arrays.copyOf(frame, length);
@@ -184,14 +185,14 @@
 
     @ParameterizedTest
     @MethodSource("io.sequoiapass.daemon.connection.peer.PeerFramesTest#messages")
-    void bytesAfterTheEndAreRefused(PeerMessage message) {
+    void rejectsTrailingBytes(PeerMessage message) {
       byte[] frame = PeerFrames.encode(message);
       byte[] longer = Arrays.copyOf(frame, frame.length + 1);
       assertThatThrownBy(() -> PeerFrames.decode(longer)).isInstanceOf(PeerFrameException.class);
     }
 
     @Property(tries = 2_000, seed = "7")
-    void arbitraryBytesNeverBringAnythingButTheError(@ForAll @Size(max = 64) byte[] bytes) {
+    void reportsArbitraryBytesOnlyAsPeerFrameException(@ForAll @Size(max = 64) byte[] bytes) {
       try {
         PeerFrames.decode(bytes);
       } catch (PeerFrameException expected) {
