--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/HostList.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/HostList.java
@@ -10,20 +10,20 @@
 import java.util.stream.Collectors;
 
 /**
- * Is the platform's list of hosts, as Gson reads it.
+ * The platform's list of hosts, read by Gson.
  *
  * @param hosts the hosts
- * @param tag names this state of the list; empty if the platform gives no tags
+ * @param tag entity tag of this version of the list; empty if the platform sends none
  */
 public record HostList(List<Host> hosts, String tag) {
 
   private static final String LEAVING = "LEAVING";
 
   /**
-   * Is one host of the list.
+   * A host of the list.
    *
    * @param host its name
-   * @param dataCentre where it stands
+   * @param dataCentre its data centre
    * @param state LIVE or LEAVING
    * @param endpoints the endpoints on it
    */
@@ -41,15 +41,15 @@
     }
   }
 
-  HostList tagged(String given) {
-    return new HostList(hosts, given);
+  HostList withTag(String newTag) {
+    return new HostList(hosts, newTag);
   }
 
   /**
-   * Returns what the list says of the hosts of a data centre.
+   * Returns the reports on the hosts of a data centre.
    *
    * @param dataCentre the data centre
-   * @throws ObjectFormatException if a host of it cannot be read
+   * @throws ObjectFormatException if an entry cannot be read
    */
   public List<HostReport> of(DataCentreId dataCentre) throws ObjectFormatException {
     try {
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/ObjectChanges.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/ObjectChanges.java
@@ -3,26 +3,27 @@
 import java.util.List;
 
 /**
- * Is the answer to a watch, as Gson reads it.
+ * The answer to a watch, read by Gson.
  *
- * @param revision where the next watch goes on
+ * @param revision the revision from which the next watch continues
  * @param events the changes, oldest first
  */
 public record ObjectChanges(long revision, List<Change> events) {
 
   /**
-   * Is one change.
+   * One change of an object.
    *
    * @param type PUT or DELETE
-   * @param object the object after a PUT; after a DELETE its name, with the counter at the deletion
+   * @param object the object after a PUT; after a DELETE its name and the platform's counter at the
+   *     deletion
    */
   public record Change(Type type, StoredObject object) {}
 
-  /** Tells what happened to an object. */
+  /** Kind of a change. */
   public enum Type {
-    /** It was written. */
+    /** The object was written. */
     PUT,
-    /** It was deleted. */
+    /** The object was deleted. */
     DELETE
   }
 }
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/ObjectCodec.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/ObjectCodec.java
@@ -35,7 +35,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Reads configuration objects from the platform's JSON; safe for use by several threads.
+ * Converts configuration objects from and to the platform's JSON. Safe for use by several threads.
  *
  * <pre>{@code
  * ConfigurationObject object = ObjectCodec.read(stored);
@@ -51,10 +51,10 @@
   private ObjectCodec() {}
 
   /**
-   * Returns the object that the platform stores.
+   * Converts an object from the platform's form.
    *
    * @param stored the object in the platform's form
-   * @throws ObjectFormatException if it is not an object of its kind
+   * @throws ObjectFormatException if it is not a valid object of its kind
    */
   public static ConfigurationObject read(StoredObject stored) throws ObjectFormatException {
     try {
@@ -143,7 +143,7 @@
   }
 
   /**
-   * Returns the JSON text of an object in the platform's form, for a push to a peer.
+   * Returns an object as JSON text in the platform's form, as it is pushed to peers.
    *
    * @param object the object
    */
@@ -203,10 +203,10 @@
   }
 
   /**
-   * Returns the object of a push.
+   * Parses an object that a peer has pushed.
    *
-   * @param text what {@link #text} wrote
-   * @throws ObjectFormatException if it is no object
+   * @param text the JSON text, as {@link #text} writes it
+   * @throws ObjectFormatException if it is not a valid object
    */
   public static ConfigurationObject parse(String text) throws ObjectFormatException {
     try {
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/ObjectFormatException.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/ObjectFormatException.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.daemon.connection.platform;
 
-/** Tells that an object of the platform is not what its kind asks for. */
+/** Thrown when an object of the platform does not have the format of its kind. */
 public final class ObjectFormatException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/PlatformClient.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/PlatformClient.java
@@ -19,16 +19,16 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Speaks the platform's object API.
+ * HTTP client of the platform's object API.
  *
  * <pre>{@code
  * platform.read("preset", "current").thenAccept(stored -> ...);
  * platform.put("preset", "current", value, OptionalLong.of(7), operation)...
  * }</pre>
  *
- * <p>Reads end with a {@link PlatformException} as their cause when there is no answer; writes
- * always end with a {@link WriteAnswer}, since a lost answer is one of the cases that their callers
- * decide on. Safe for use by several threads.
+ * <p>Reads fail with a {@link PlatformException} as their cause if the platform gives no usable
+ * answer. Writes always complete with a {@link WriteAnswer}, since callers have to handle a lost
+ * answer like any other result. Safe for use by several threads.
  */
 public final class PlatformClient {
 
@@ -46,11 +46,11 @@
   private final Gson gson = new Gson();
 
   /**
-   * Makes a client.
+   * Creates a client.
    *
-   * @param http what carries the calls
-   * @param address where the platform listens
-   * @param timeoutMs how long a call may take besides the wait of a watch, in milliseconds
+   * @param http the HTTP client that sends the calls
+   * @param address the platform's address
+   * @param timeoutMs timeout of a call in milliseconds; the wait of a watch comes on top
    */
   public PlatformClient(HttpClient http, InetSocketAddress address, long timeoutMs) {
     this.http = Objects.requireNonNull(http, "http");
@@ -86,11 +86,11 @@
   }
 
   /**
-   * Reads the list of hosts. The platform may leave hosts of other data centres out, and may answer
-   * that the list is still the one that the tag names, so that reading it often costs few bytes.
+   * Reads the list of hosts. The platform may omit hosts of other data centres. If the list still
+   * has the given tag, the platform may answer "not modified", which keeps frequent reads cheap.
    *
-   * @param dataCentre the data centre whose hosts are wanted
-   * @param tag the tag of the list that the caller holds; empty if it holds none
+   * @param dataCentre the data centre whose hosts are read
+   * @param tag entity tag of the list that the caller holds; empty if it holds none
    * @return the list; empty if it is unchanged
    */
   public CompletableFuture<Optional<HostList>> hosts(DataCentreId dataCentre, String tag) {
@@ -103,16 +103,16 @@
                 return Optional.empty();
               }
               HostList list = parse(answer, failure, HostList.class);
-              return Optional.of(list.tagged(answer.headers().get("ETag", "")));
+              return Optional.of(list.withTag(answer.headers().get("ETag", "")));
             });
   }
 
   /**
-   * Waits for changes.
+   * Waits for changes of objects.
    *
    * @param kinds the kinds to watch
-   * @param after the revision after which changes are wanted
-   * @param waitMs how long the platform may hold the call while nothing changes, in milliseconds
+   * @param after the revision after which changes are returned
+   * @param waitMs how long the platform may delay its answer while nothing changes, in milliseconds
    */
   public CompletableFuture<ObjectChanges> watch(Collection<String> kinds, long after, long waitMs) {
     String path =
@@ -122,13 +122,13 @@
   }
 
   /**
-   * Writes one object if it still has the version that the writer knows.
+   * Writes one object if it still has the expected version.
    *
    * @param kind its kind
    * @param name its name
    * @param value the value
-   * @param expectedVersion the version that it must have; 0 if it must not exist
-   * @param operation names the write, so that a retry recognises its own change
+   * @param expectedVersion the version that the object must have; 0 if it must not exist
+   * @param operation identifies the write, so that a retry recognises its own change
    */
   public CompletableFuture<WriteAnswer> put(
       String kind, String name, JsonObject value, long expectedVersion, OperationId operation) {
@@ -141,12 +141,12 @@
   }
 
   /**
-   * Deletes one object if it still has the version that the writer knows.
+   * Deletes one object if it still has the expected version.
    *
    * @param kind its kind
    * @param name its name
-   * @param expectedVersion the version that it must have
-   * @param operation names the write
+   * @param expectedVersion the version that the object must have
+   * @param operation identifies the write
    */
   public CompletableFuture<WriteAnswer> delete(
       String kind, String name, long expectedVersion, OperationId operation) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/PlatformException.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/PlatformException.java
@@ -1,17 +1,17 @@
 package io.sequoiapass.daemon.connection.platform;
 
-/** Tells that the platform did not answer a read. */
+/** Thrown when a read of the platform fails. */
 public final class PlatformException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
-  /** Lists why. */
+  /** Reason for the failure. */
   public enum Reason {
-    /** The history that a watch asks for is gone: list again. */
+    /** The platform has discarded the history that the watch needs; list the objects again. */
     HISTORY_GONE,
-    /** The rate was exceeded. */
+    /** The platform's rate limit was exceeded. */
     THROTTLED,
-    /** No answer, or an error of the platform's. */
+    /** The platform did not answer, or answered with an error. */
     UNAVAILABLE
   }
 
@@ -24,12 +24,12 @@
     this.retryAfterMs = retryAfterMs;
   }
 
-  /** Returns why. */
+  /** Returns the reason for the failure. */
   public Reason reason() {
     return reason;
   }
 
-  /** Returns when the platform asks to come back, in milliseconds; 0 if it does not say. */
+  /** Returns the delay before a retry that the platform requests, in milliseconds; 0 if none. */
   public long retryAfterMs() {
     return retryAfterMs;
   }
