--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineClient.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineClient.java
@@ -26,7 +26,7 @@
  */
 public final class EngineClient {
 
-  /** Timeout of every call but a load; an engine answers these within one step. */
+  /** Timeout of unload, cancel and state calls; an engine answers these within one step. */
   private static final long ORDER_TIMEOUT_MS = 2_000;
 
   /**
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EventSplitter.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EventSplitter.java
@@ -32,7 +32,7 @@
    * Processes the next bytes of the stream.
    *
    * @param part the bytes
-   * @throws IllegalArgumentException if a line is longer than any event of an engine
+   * @throws IllegalArgumentException if a line is longer than any event that an engine sends
    */
   public void accept(byte[] part) {
     int start = 0;
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerLinks.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerLinks.java
@@ -97,7 +97,7 @@
   }
 
   /**
-   * Closes the connection to a peer that sends nothing any more, and so reconnects.
+   * Closes the connection to an unresponsive peer; the link then reconnects.
    *
    * @param peer the peer
    */
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerMessage.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerMessage.java
@@ -353,7 +353,7 @@
   }
 
   /**
-   * Requests the changes of the peer's ownership table after a version.
+   * Requests the changes of the peer's ownership table since a version.
    *
    * @param knownVersion the version that the sender holds
    */
--- a/daemon/src/test/java/io/sequoiapass/daemon/connection/peer/PeerFramesTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/connection/peer/PeerFramesTest.java
@@ -167,8 +167,8 @@
 
   /**
    * A peer of another release, or an unrelated client, sends bytes that are not a frame. Decoding
-   * must fail with PeerFrameException, which closes the connection; it must neither throw anything
-   * else nor allocate a large amount of memory.
+   * must fail with PeerFrameException, so that the connection is closed with a clear error; it must
+   * neither throw anything else nor allocate a large amount of memory.
    */
   @Nested
   class MalformedFrames {
@@ -192,7 +192,7 @@
     }
 
     @Property(tries = 2_000, seed = "7")
-    void reportsArbitraryBytesOnlyAsPeerFrameException(@ForAll @Size(max = 64) byte[] bytes) {
+    void decodingArbitraryBytesThrowsOnlyPeerFrameException(@ForAll @Size(max = 64) byte[] bytes) {
       try {
         PeerFrames.decode(bytes);
       } catch (PeerFrameException expected) {
