--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/LedgerFrames.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/LedgerFrames.java
@@ -30,9 +30,9 @@
   private static final int ANSWER = 4;
   private static final int COPY = 5;
   private static final int COPIED = 6;
-  private static final int RECORDS_REQUEST = 7;
+  private static final int REQUEST_RECORDS = 7;
   private static final int RECORDS = 8;
-  private static final int HOLDER_QUERY = 9;
+  private static final int QUERY_HOLDER = 9;
   private static final int STILL_OPEN = 10;
 
   private LedgerFrames() {}
@@ -59,7 +59,7 @@
       out.packString(answer.step().name());
       out.packString(answer.refusal().map(ErrorKind::name).orElse(""));
     } else if (message instanceof LedgerMessage.AskHolder ask) {
-      out.packInt(HOLDER_QUERY);
+      out.packInt(QUERY_HOLDER);
       write(out, ask.key(), ask.holder(), ask.asker());
     } else if (message instanceof LedgerMessage.StillOpen open) {
       out.packInt(STILL_OPEN);
@@ -80,7 +80,7 @@
       out.packString(copied.key().value());
       out.packLong(copied.sequence());
     } else if (message instanceof LedgerMessage.AskRecords ask) {
-      out.packInt(RECORDS_REQUEST);
+      out.packInt(REQUEST_RECORDS);
       write(out, ask.by());
       out.packLong(ask.view());
     } else if (message instanceof LedgerMessage.Records records) {
@@ -148,11 +148,11 @@
       case ANSWER ->
           new LedgerMessage.Answer(
               key(in), holder(in), in.constant(LedgerMessage.Step.class), refusal(in));
-      case HOLDER_QUERY -> new LedgerMessage.AskHolder(key(in), holder(in), holder(in));
+      case QUERY_HOLDER -> new LedgerMessage.AskHolder(key(in), holder(in), holder(in));
       case STILL_OPEN -> new LedgerMessage.StillOpen(key(in), holder(in), holder(in));
       case COPY -> new LedgerMessage.Copy(record(in));
       case COPIED -> new LedgerMessage.Copied(member(in), key(in), in.longNumber());
-      case RECORDS_REQUEST -> new LedgerMessage.AskRecords(member(in), in.longNumber());
+      case REQUEST_RECORDS -> new LedgerMessage.AskRecords(member(in), in.longNumber());
       case RECORDS ->
           new LedgerMessage.Records(
               member(in),
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerListener.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerListener.java
@@ -19,7 +19,7 @@
   void received(PeerChannel channel, PeerMessage message);
 
   /**
-   * Called when the connection starts or stops taking more.
+   * Called when the connection starts or stops accepting more data.
    *
    * @param channel the connection
    */
