--- a/testbed/src/main/java/io/sequoiapass/testbed/load/AnswerCheck.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/AnswerCheck.java
@@ -14,23 +14,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * Reads one answer and tells whether it is whole and the caller's own.
+ * Reads one answer and checks that it is complete and belongs to its request.
  *
- * <p>Every token's text names adapter, version, request and index, so a token of another adapter or
- * another request shows by itself. Used on the connection's event loop.
+ * <p>The text of every token contains adapter, version, request id and index, so a token of another
+ * adapter or another request is detected from its text alone. Confined to the connection's event
+ * loop.
  */
 final class AnswerCheck implements HttpStreamListener {
 
   private static final String END_OF_STREAM = "[DONE]";
-  private static final char INTERNAL_PART = '~';
+  private static final char INTERNAL_ID_SEPARATOR = '~';
 
   private final PlannedRequest request;
   private final String expectedVersion;
   private final LongSupplier micros;
-  private final long startedAt;
-  private final long waitsUntil;
+  private final long startedAtMicros;
+  private final long timeoutAtMicros;
   private final Consumer<RequestResult> results;
-  private final EventSplitter events = new EventSplitter(this::event);
+  private final EventSplitter events = new EventSplitter(this::onEvent);
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private int status;
   private String outcomeHeader = "";
@@ -39,8 +40,8 @@
   private int tokens;
   private String tokenId;
   private CallerMessages.Event end;
-  private String wrong = "";
-  private boolean told;
+  private String mismatch = "";
+  private boolean reported;
 
   AnswerCheck(
       PlannedRequest request,
@@ -51,8 +52,8 @@
     this.request = request;
     this.expectedVersion = expectedVersion;
     this.micros = micros;
-    this.startedAt = micros.getAsLong();
-    this.waitsUntil = startedAt + TimeUnit.MILLISECONDS.toMicros(waitMs);
+    this.startedAtMicros = micros.getAsLong();
+    this.timeoutAtMicros = startedAtMicros + TimeUnit.MILLISECONDS.toMicros(waitMs);
     this.results = results;
   }
 
@@ -63,7 +64,7 @@
     streamed = headers.get("Content-Type", "").startsWith("text/event-stream");
     String adapter = headers.get("Adapter", "");
     if (request.adapter().isPresent() && status == 200 && !adapter.equals(expectedAdapter())) {
-      wrong("answered by adapter '" + adapter + "'");
+      recordMismatch("answered by adapter '" + adapter + "'");
     }
   }
 
@@ -80,7 +81,7 @@
     }
   }
 
-  private void event(String data) {
+  private void onEvent(String data) {
     if (data.equals(END_OF_STREAM)) {
       return;
     }
@@ -89,90 +90,90 @@
       if (event.outcome() != null) {
         end = event;
       } else {
-        token(event);
+        checkToken(event);
       }
     } catch (JsonSyntaxException | NullPointerException e) {
-      wrong("unreadable event: " + data);
+      recordMismatch("unreadable event: " + data);
     }
   }
 
-  private void token(CallerMessages.Event event) {
+  private void checkToken(CallerMessages.Event event) {
     if (firstTokenMicros < 0) {
-      firstTokenMicros = micros.getAsLong() - startedAt;
+      firstTokenMicros = micros.getAsLong() - startedAtMicros;
     }
     if (end != null) {
-      wrong("a token after the end");
+      recordMismatch("token after the final event");
     }
     if (event.index() != tokens) {
-      wrong("token " + event.index() + " in place of " + tokens);
+      recordMismatch("token index " + event.index() + ", expected " + tokens);
     }
     if (tokenId == null) {
-      tokenId = idIn(event.text());
+      tokenId = requestIdIn(event.text());
     }
     String expected = TokenText.of(expectedAdapter(), expectedVersion, tokenId, tokens);
     if (!event.text().equals(expected)) {
-      wrong("token '" + event.text() + "' in place of '" + expected + "'");
+      recordMismatch("token '" + event.text() + "', expected '" + expected + "'");
     }
     tokens++;
   }
 
-  /** Returns the id in a token's text: the caller's own, with what the daemon adds to it. */
-  private String idIn(String text) {
+  /** Extracts the request id from a token's text: the caller's id and the daemon's suffix. */
+  private String requestIdIn(String text) {
     int slash = text.indexOf('/');
     int hash = text.lastIndexOf('#');
     String id = slash >= 0 && hash > slash ? text.substring(slash + 1, hash) : "";
-    return id.startsWith(request.id() + INTERNAL_PART) ? id : request.id();
+    return id.startsWith(request.id() + INTERNAL_ID_SEPARATOR) ? id : request.id();
   }
 
-  private void wrong(String why) {
-    if (wrong.isEmpty()) {
-      wrong = why;
+  private void recordMismatch(String why) {
+    if (mismatch.isEmpty()) {
+      mismatch = why;
     }
   }
 
   @Override
   public void ended() {
-    if (!wrong.isEmpty()) {
-      tell(Verdict.WRONG, wrong);
+    if (!mismatch.isEmpty()) {
+      report(Verdict.WRONG, mismatch);
     } else if (streamed) {
-      endedStream();
+      finishStream();
     } else if (status == 200) {
-      endedWhole();
+      finishPlainAnswer();
     } else {
-      tell(verdict(outcomeHeader), status + " " + body.toString(StandardCharsets.UTF_8));
+      report(verdict(outcomeHeader), status + " " + body.toString(StandardCharsets.UTF_8));
     }
   }
 
-  private void endedStream() {
+  private void finishStream() {
     if (end == null) {
-      tell(Verdict.UNKNOWN, "the stream ended without its last event");
+      report(Verdict.UNKNOWN, "stream ended without its final event");
       return;
     }
     if (!end.outcome().equals("ANSWERED")) {
       String why = end.error() == null ? "" : end.error().kind() + " " + end.error().message();
-      tell(verdict(end.outcome()), why + " after " + tokens + " tokens");
+      report(verdict(end.outcome()), why + " after " + tokens + " tokens");
       return;
     }
     if (tokens != request.maxTokens() || end.tokens() != tokens) {
-      tell(Verdict.WRONG, "whole with " + tokens + " tokens of " + request.maxTokens());
+      report(Verdict.WRONG, "complete with " + tokens + " tokens of " + request.maxTokens());
     } else if (!expectedAdapter().equals(end.adapter()) || !expectedVersion.equals(end.version())) {
-      tell(Verdict.WRONG, "ended by " + end.adapter() + "@" + end.version());
+      report(Verdict.WRONG, "ended by " + end.adapter() + "@" + end.version());
     } else {
-      tell(Verdict.WHOLE, "");
+      report(Verdict.WHOLE, "");
     }
   }
 
-  private void endedWhole() {
-    firstTokenMicros = micros.getAsLong() - startedAt;
+  private void finishPlainAnswer() {
+    firstTokenMicros = micros.getAsLong() - startedAtMicros;
     try {
       CallerMessages.Plain plain =
           Json.GSON.fromJson(body.toString(StandardCharsets.UTF_8), CallerMessages.Plain.class);
       boolean own =
-          plain.requestId().startsWith(request.id() + INTERNAL_PART)
+          plain.requestId().startsWith(request.id() + INTERNAL_ID_SEPARATOR)
               && plain.idempotencyKey().equals(request.keyed() ? request.id() : "");
-      tell(own ? Verdict.WHOLE : Verdict.WRONG, own ? "" : "answer to " + plain.requestId());
+      report(own ? Verdict.WHOLE : Verdict.WRONG, own ? "" : "answer to " + plain.requestId());
     } catch (JsonSyntaxException | NullPointerException e) {
-      tell(Verdict.WRONG, "unreadable answer: " + body.toString(StandardCharsets.UTF_8));
+      report(Verdict.WRONG, "unreadable answer: " + body.toString(StandardCharsets.UTF_8));
     }
   }
 
@@ -186,20 +187,20 @@
 
   @Override
   public void failed(HttpFailure failure) {
-    if (!wrong.isEmpty()) {
-      tell(Verdict.WRONG, wrong);
-    } else if (micros.getAsLong() >= waitsUntil) {
-      tell(Verdict.UNANSWERED, "no whole answer in time");
+    if (!mismatch.isEmpty()) {
+      report(Verdict.WRONG, mismatch);
+    } else if (micros.getAsLong() >= timeoutAtMicros) {
+      report(Verdict.UNANSWERED, "no complete answer before the timeout");
     } else {
-      tell(failure.mayHaveReached() ? Verdict.UNKNOWN : Verdict.NOT_RUN, failure.getMessage());
+      report(failure.mayHaveReached() ? Verdict.UNKNOWN : Verdict.NOT_RUN, failure.getMessage());
     }
   }
 
-  private void tell(Verdict verdict, String detail) {
-    if (!told) {
-      told = true;
-      long took = micros.getAsLong() - startedAt;
-      results.accept(new RequestResult(request, verdict, firstTokenMicros, took, detail));
+  private void report(Verdict verdict, String detail) {
+    if (!reported) {
+      reported = true;
+      long durationMicros = micros.getAsLong() - startedAtMicros;
+      results.accept(new RequestResult(request, verdict, firstTokenMicros, durationMicros, detail));
     }
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/CallerMessages.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/CallerMessages.java
@@ -1,6 +1,6 @@
 package io.sequoiapass.testbed.load;
 
-/** Holds the caller interface's messages, as JSON names them. */
+/** Messages of the caller interface, with the field names of their JSON form. */
 final class CallerMessages {
 
   private CallerMessages() {}
@@ -8,7 +8,7 @@
   /** A completion request. */
   record Completion(String model, String prompt, int maxTokens, boolean stream) {}
 
-  /** An event of a stream: a token where it has a text, the end where it has an outcome. */
+  /** An event of a stream: a token if it has a text, the final event if it has an outcome. */
   record Event(
       String id,
       Integer index,
@@ -19,9 +19,9 @@
       int tokens,
       ErrorBody error) {}
 
-  /** Tells why there is no answer. */
+  /** The error that is sent in place of an answer. */
   record ErrorBody(String kind, String message) {}
 
-  /** An answer of the plain service's stand-in. */
+  /** An answer of the stand-in for the plain service. */
   record Plain(String requestId, String idempotencyKey) {}
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/JudgeReport.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/JudgeReport.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Holds what the judges of the stand-ins tell, as JSON names it. */
+/** Reports of the stand-ins on what they ran, with the field names of their JSON form. */
 final class JudgeReport {
 
   private JudgeReport() {}
 
-  /** An engine's counts. */
+  /** Counters and runs of an engine. */
   record Engine(
       String endpoint,
       long violations,
@@ -23,10 +23,10 @@
       boolean truncated,
       List<Run> runs) {}
 
-  /** One attempt that an engine ran. */
+  /** An attempt that an engine ran. */
   record Run(
       String requestId, int attempt, String adapter, String version, int count, int tokens) {}
 
-  /** A plain service's counts. */
+  /** Run counts of a plain service. */
   record Service(String endpoint, long runs, Map<String, Integer> runsByRequest) {}
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/Judgement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/Judgement.java
@@ -11,15 +11,16 @@
 import java.util.Map;
 
 /**
- * Compares what callers were told with what the stand-ins say ran.
+ * Compares the results that callers received with the runs that the stand-ins recorded.
  *
- * <p>A request that was told NOT RUN and ran, one that may not run twice and did, and one that ran
- * on another adapter than it named are wrong, whatever the caller saw. A stand-in whose process was
- * replaced has forgotten its runs, so this finds less there. Instances are immutable.
+ * <p>A request is wrong, whatever its caller received, if it was reported as NOT RUN but ran, if it
+ * ran twice although it must not, or if it ran on an adapter other than the requested one. A
+ * stand-in keeps its record in memory, so violations on a process that was replaced since can be
+ * missed. Instances are immutable.
  */
 public final class Judgement {
 
-  private static final char INTERNAL_PART = '~';
+  private static final char INTERNAL_ID_SEPARATOR = '~';
 
   private final List<JudgeReport.Engine> engines;
   private final Map<String, List<String>> adaptersByRequest;
@@ -35,10 +36,10 @@
   }
 
   /**
-   * Asks all endpoints of a cluster.
+   * Collects the reports of all endpoints of a cluster.
    *
    * @param cluster the cluster
-   * @throws IOException if one does not answer
+   * @throws IOException if an endpoint does not answer
    * @throws InterruptedException if the wait is interrupted
    */
   public static Judgement of(Cluster cluster) throws IOException, InterruptedException {
@@ -66,62 +67,62 @@
   }
 
   private static String callerId(String internalId) {
-    int end = internalId.lastIndexOf(INTERNAL_PART);
+    int end = internalId.lastIndexOf(INTERNAL_ID_SEPARATOR);
     return end < 0 ? internalId : internalId.substring(0, end);
   }
 
   /**
-   * Returns a report in which results that the judges contradict are wrong.
+   * Returns a copy of a report in which results that contradict the stand-ins' records are wrong.
    *
-   * @param report what callers were told
+   * @param report the results that callers received
    */
   public LoadReport apply(LoadReport report) {
-    return report.with(this::judge);
+    return report.map(this::check);
   }
 
-  private RequestResult judge(RequestResult result) {
+  private RequestResult check(RequestResult result) {
     PlannedRequest request = result.request();
     int runs = runsByRequest.getOrDefault(request.id(), 0);
     if (result.verdict() == Verdict.NOT_RUN && runs > 0) {
-      return result.judgedWrong("told NOT RUN, but ran " + runs + " times: " + result.detail());
+      return result.asWrong("reported as NOT RUN, but ran " + runs + " times: " + result.detail());
     }
     if (!request.repeatable() && runs > 1) {
-      return result.judgedWrong("may not run twice, but ran " + runs + " times");
+      return result.asWrong("must not run twice, but ran " + runs + " times");
     }
     if (request.adapter().isPresent()) {
       String adapter = request.adapter().get() + "@";
       for (String ranOn : adaptersByRequest.getOrDefault(request.id(), List.of())) {
         if (!ranOn.startsWith(adapter)) {
-          return result.judgedWrong("ran on " + ranOn);
+          return result.asWrong("ran on " + ranOn);
         }
       }
     }
     return result;
   }
 
-  /** Returns how often an adapter was evicted while it served. */
+  /** Returns the number of evictions of adapters that were serving requests. */
   public long violations() {
     return engines.stream().mapToLong(JudgeReport.Engine::violations).sum();
   }
 
-  /** Returns what is known of those evictions. */
+  /** Returns a description of each recorded eviction of a serving adapter. */
   public List<String> violationDetails() {
     return engines.stream()
         .flatMap(engine -> engine.violationDetails().stream().map(d -> engine.endpoint() + " " + d))
         .toList();
   }
 
-  /** Returns the loads that engines made. */
+  /** Returns the number of adapter loads over all engines. */
   public long loads() {
     return engines.stream().mapToLong(JudgeReport.Engine::loads).sum();
   }
 
-  /** Returns the evictions that engines made. */
+  /** Returns the number of evictions over all engines. */
   public long evictions() {
     return engines.stream().mapToLong(JudgeReport.Engine::evictions).sum();
   }
 
-  /** Returns the tokens that engines made. */
+  /** Returns the number of tokens that all engines generated. */
   public long tokens() {
     return engines.stream().mapToLong(JudgeReport.Engine::tokens).sum();
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/LoadPlan.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/LoadPlan.java
@@ -7,21 +7,21 @@
 import java.util.Random;
 
 /**
- * Draws the requests of one load: when each comes, for which adapter, of which kind.
+ * Parameters of a random open-loop load; generates its requests.
  *
- * <p>Open loop: a request comes at its time, however late answers are, as callers do. Two plans
- * with the same settings and seed are the same. Instances are immutable and safe for use by several
- * threads.
+ * <p>Each request is sent at its scheduled time, however late the answers are, as independent
+ * callers do. Two plans with the same settings and seed generate the same requests. Instances are
+ * immutable and safe for use by several threads.
  *
- * @param seconds how long requests come
- * @param rate requests a second on average
- * @param adapters adapters that are asked for
- * @param skew skew of their popularity
- * @param meanTokens tokens of an answer on average
- * @param plainShare part of the requests that call the plain service
- * @param onceShare part of the completions that may not run twice
- * @param formerShare part of the completions that name the version before the one in force
- * @param seed seed of all that is drawn
+ * @param seconds duration of the load, in seconds
+ * @param rate mean arrival rate, in requests per second
+ * @param adapters number of adapters that are requested
+ * @param skew Zipf skew of the adapters' popularity
+ * @param meanTokens mean number of tokens of an answer
+ * @param plainShare fraction of requests that call the plain service
+ * @param onceShare fraction of completions that must not run twice
+ * @param formerShare fraction of completions that request the version before the current one
+ * @param seed seed of the random numbers
  */
 public record LoadPlan(
     int seconds,
@@ -51,20 +51,20 @@
     }
   }
 
-  /** Returns the requests in the order of their times. */
+  /** Generates the requests, ordered by send time. */
   public List<PlannedRequest> requests() {
     Random random = new Random(seed);
     ZipfDistribution popularity = new ZipfDistribution(adapters, skew);
     List<PlannedRequest> requests = new ArrayList<>();
-    double at = 0;
+    double atSeconds = 0;
     while (true) {
-      // Exponential gaps: many callers who know nothing of each other.
-      at += -Math.log(1 - random.nextDouble()) / rate;
-      if (at >= seconds) {
+      // Exponential gaps: the arrivals of many independent callers form a Poisson process.
+      atSeconds += -Math.log(1 - random.nextDouble()) / rate;
+      if (atSeconds >= seconds) {
         return requests;
       }
       String id = "load-" + seed + "-" + requests.size();
-      requests.add(request(id, (long) (at * MICROS_PER_SECOND), popularity, random));
+      requests.add(request(id, (long) (atSeconds * MICROS_PER_SECOND), popularity, random));
     }
   }
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/LoadReport.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/LoadReport.java
@@ -9,7 +9,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Tells how the requests of one load ended.
+ * Results of the requests of one load.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
@@ -18,25 +18,25 @@
   private static final long LONGEST_MICROS = 600_000_000;
 
   private final List<RequestResult> results;
-  private final long tookMicros;
+  private final long durationMicros;
   private final long missing;
 
-  LoadReport(List<RequestResult> results, long tookMicros) {
-    this(results, tookMicros, 0);
+  LoadReport(List<RequestResult> results, long durationMicros) {
+    this(results, durationMicros, 0);
   }
 
-  private LoadReport(List<RequestResult> results, long tookMicros, long missing) {
+  private LoadReport(List<RequestResult> results, long durationMicros, long missing) {
     this.results = List.copyOf(results);
-    this.tookMicros = tookMicros;
+    this.durationMicros = durationMicros;
     this.missing = missing;
   }
 
-  LoadReport incomplete(long notEnded) {
-    return new LoadReport(results, tookMicros, notEnded);
+  LoadReport withMissing(long count) {
+    return new LoadReport(results, durationMicros, count);
   }
 
-  LoadReport with(Function<RequestResult, RequestResult> change) {
-    return new LoadReport(results.stream().map(change).toList(), tookMicros, missing);
+  LoadReport map(Function<RequestResult, RequestResult> change) {
+    return new LoadReport(results.stream().map(change).toList(), durationMicros, missing);
   }
 
   /** Returns all results. */
@@ -45,28 +45,28 @@
   }
 
   /**
-   * Returns how many requests ended so.
+   * Returns the number of requests that ended with a verdict.
    *
-   * @param verdict how
+   * @param verdict the verdict
    */
   public long count(Verdict verdict) {
     return results.stream().filter(result -> result.verdict() == verdict).count();
   }
 
-  /** Returns how many requests got no final answer. */
+  /** Returns the number of requests without a final answer. */
   public long unanswered() {
     return count(Verdict.UNANSWERED) + missing;
   }
 
-  /** Returns how many requests were sent. */
+  /** Returns the number of requests that were sent. */
   public long sent() {
     return results.size() + missing;
   }
 
   /**
-   * Returns the times to the first token, in microseconds.
+   * Returns a histogram of the times to the first token, in microseconds.
    *
-   * @param which the requests meant
+   * @param which selects the requests
    */
   public Histogram firstTokens(Predicate<RequestResult> which) {
     Histogram histogram = new Histogram(LONGEST_MICROS, 3);
@@ -79,9 +79,9 @@
   }
 
   /**
-   * Returns why requests were not whole, the most frequent reasons first.
+   * Returns the reasons of incomplete answers with their counts, the most frequent first.
    *
-   * @param limit how many at most
+   * @param limit maximum number of reasons
    */
   public List<String> reasons(int limit) {
     Map<String, Integer> counts = new TreeMap<>();
@@ -96,7 +96,7 @@
   }
 
   private static String reason(RequestResult result) {
-    // Without the request's own name, so that equal reasons fall together.
+    // Request ids are masked so that equal reasons are counted together.
     return result.verdict() + ": " + result.detail().replace(result.request().id(), "ID");
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/LoadTool.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/LoadTool.java
@@ -17,7 +17,7 @@
 import java.util.function.IntFunction;
 
 /**
- * Sends a load to entry daemons, each request at its time, and checks each answer.
+ * Sends a load to entry daemons, each request at its scheduled time, and checks every answer.
  *
  * <pre>{@code
  * try (LoadTool tool = LoadTool.to(List.of(daemon.callers()))) {
@@ -26,8 +26,8 @@
  * }
  * }</pre>
  *
- * <p>Requests go to the daemons in turn, as a balancer would send them. Safe for use by several
- * threads, but runs one load only.
+ * <p>Requests are distributed over the daemons round-robin, like by a load balancer. Safe for use by
+ * several threads; an instance runs one load.
  */
 public final class LoadTool implements AutoCloseable {
 
@@ -35,7 +35,7 @@
   private static final int CONNECT_TIMEOUT_MS = 1_000;
   private static final int DEADLINE_MS = 20_000;
 
-  /** Waited beyond the deadline, after which the daemon owes an answer. */
+  /** Time allowed beyond the deadline, by which the daemon must have answered. */
   private static final int GRACE_MS = 5_000;
 
   private final MultiThreadIoEventLoopGroup group =
@@ -44,8 +44,8 @@
   private final IntFunction<InetSocketAddress> balancer;
   private final Queue<RequestResult> results = new ConcurrentLinkedQueue<>();
   private final AtomicLong sent = new AtomicLong();
-  private CountDownLatch missing = new CountDownLatch(0);
-  private long startedAt;
+  private CountDownLatch pending = new CountDownLatch(0);
+  private long startedAtMicros;
   private volatile int deadlineMs = DEADLINE_MS;
   private volatile String service = ClusterNames.NOTES;
 
@@ -56,20 +56,21 @@
   /**
    * Returns a tool.
    *
-   * @param daemons where the daemons take callers
+   * @param daemons caller addresses of the daemons
    */
   public static LoadTool to(List<InetSocketAddress> daemons) {
     if (daemons.isEmpty()) {
-      throw new IllegalArgumentException("needs a daemon to send to");
+      throw new IllegalArgumentException("at least one daemon address is required");
     }
     List<InetSocketAddress> copy = List.copyOf(daemons);
     return new LoadTool(number -> copy.get(number % copy.size()));
   }
 
   /**
-   * Returns a tool that asks a balancer where to send each request, right before it is sent.
+   * Returns a tool that has a balancer select the target of each request just before sending it.
    *
-   * @param balancer tells for the number of a request where daemons take it; called on event loops
+   * @param balancer maps the number of a request to a daemon's caller address; called on event
+   *     loops
    */
   public static LoadTool through(IntFunction<InetSocketAddress> balancer) {
     return new LoadTool(balancer);
@@ -78,7 +79,7 @@
   /**
    * Sets the deadline of all requests.
    *
-   * @param millis from when each is sent, in milliseconds
+   * @param millis time from the send of a request, in milliseconds
    */
   public LoadTool deadlineMs(int millis) {
     deadlineMs = millis;
@@ -86,7 +87,7 @@
   }
 
   /**
-   * Sets the service on whose behalf completions are asked for.
+   * Sets the service that completions are requested for.
    *
    * @param name the service
    */
@@ -96,13 +97,13 @@
   }
 
   /**
-   * Starts to send and returns at once.
+   * Schedules the requests and returns without waiting for answers.
    *
-   * @param requests what to send, in the order of their times
+   * @param requests the requests, ordered by send time
    */
   public synchronized void start(List<PlannedRequest> requests) {
-    missing = new CountDownLatch(requests.size());
-    startedAt = micros();
+    pending = new CountDownLatch(requests.size());
+    startedAtMicros = micros();
     for (int i = 0; i < requests.size(); i++) {
       PlannedRequest request = requests.get(i);
       int number = i;
@@ -127,7 +128,7 @@
             deadlineMs + GRACE_MS,
             result -> {
               results.add(result);
-              missing.countDown();
+              pending.countDown();
             });
     client.stream(call(request, daemon), deadlineMs + GRACE_MS, check);
   }
@@ -155,30 +156,30 @@
     return call.header("Service", service).body(Json.GSON.toJson(body));
   }
 
-  /** Returns how many requests were sent so far. */
+  /** Returns the number of requests sent so far. */
   public long sent() {
     return sent.get();
   }
 
-  /** Returns what is known so far. */
+  /** Returns the results received so far. */
   public synchronized LoadReport report() {
-    return new LoadReport(List.copyOf(results), micros() - startedAt);
+    return new LoadReport(List.copyOf(results), micros() - startedAtMicros);
   }
 
   /**
-   * Waits until every request ended and returns how.
+   * Waits until every request has ended and returns the results.
    *
-   * @param limitMs how long to wait at most, in milliseconds
+   * @param limitMs maximum wait, in milliseconds
    * @throws InterruptedException if the wait is interrupted
    */
   public LoadReport await(long limitMs) throws InterruptedException {
     CountDownLatch waitFor;
     synchronized (this) {
-      waitFor = missing;
+      waitFor = pending;
     }
-    // A bounded wait: what has not ended by then is missing from the report and shows there.
+    // Bounded wait: requests that have not ended by then are reported as missing.
     boolean all = waitFor.await(limitMs, TimeUnit.MILLISECONDS);
-    return all ? report() : report().incomplete(waitFor.getCount());
+    return all ? report() : report().withMissing(waitFor.getCount());
   }
 
   @Override
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/PlannedRequest.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/PlannedRequest.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * Is one request that the load tool will send.
+ * A request that the load tool is to send.
  *
- * @param id the caller's id of it
- * @param atMicros when to send it, from the start of the load, in microseconds
- * @param adapter the adapter it names; empty for a call of the plain service
- * @param version the version it names, if it names one
- * @param maxTokens tokens asked for
- * @param priority its priority
+ * @param id the caller's request id
+ * @param atMicros send time, in microseconds from the start of the load
+ * @param adapter the requested adapter; empty for a call of the plain service
+ * @param version the requested version; empty for the current one
+ * @param maxTokens number of tokens requested
+ * @param priority value of the priority header
  * @param repeatable whether it may run twice
- * @param keyed whether it carries an idempotency key, its id
+ * @param keyed whether it carries an idempotency key, which equals its id
  */
 public record PlannedRequest(
     String id,
@@ -24,7 +24,7 @@
     boolean repeatable,
     boolean keyed) {
 
-  /** Makes a request that carries a key if it may not run twice; the parameters are as above. */
+  /** Creates a request that carries an idempotency key if it must not run twice. */
   public PlannedRequest(
       String id,
       long atMicros,
@@ -36,13 +36,13 @@
     this(id, atMicros, adapter, version, maxTokens, priority, repeatable, !repeatable);
   }
 
-  /** Returns the same request without a key. */
+  /** Returns a copy without an idempotency key. */
   public PlannedRequest withoutKey() {
     return new PlannedRequest(
         id, atMicros, adapter, version, maxTokens, priority, repeatable, false);
   }
 
-  /** Returns the adapter as the caller names it to the daemons. */
+  /** Returns the model name for the daemons: the adapter, with the version if one is requested. */
   public String model() {
     return adapter.orElseThrow() + version.map(named -> "@" + named).orElse("");
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/RequestResult.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/RequestResult.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * Tells how one request ended.
+ * Result of one request.
  *
  * @param request the request
- * @param verdict how it ended
- * @param firstTokenMicros time to the first token, or to the whole answer of a plain service, in
- *     microseconds; -1 where none came
+ * @param verdict class of the result
+ * @param firstTokenMicros time to the first token, or to the complete answer of a plain service,
+ *     in microseconds; -1 if there was none
  * @param tookMicros time to the end, in microseconds
- * @param detail why it is not whole, or the empty string
+ * @param detail why the answer is not complete, or the empty string
  */
 public record RequestResult(
     PlannedRequest request,
@@ -19,15 +19,15 @@
     long tookMicros,
     String detail) {
 
-  /** Checks that nothing is missing. */
+  /** Rejects null components. */
   public RequestResult {
     Objects.requireNonNull(request, "request");
     Objects.requireNonNull(verdict, "verdict");
     Objects.requireNonNull(detail, "detail");
   }
 
-  /** Returns this result judged wrong by what the stand-ins say ran. */
-  RequestResult judgedWrong(String why) {
+  /** Returns a copy marked wrong because it contradicts the stand-ins' records. */
+  RequestResult asWrong(String why) {
     return new RequestResult(request, Verdict.WRONG, firstTokenMicros, tookMicros, why);
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/Verdict.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/Verdict.java
@@ -1,15 +1,15 @@
 package io.sequoiapass.testbed.load;
 
-/** Tells how a request ended for its caller. */
+/** Class of a request's result, as seen by its caller. */
 public enum Verdict {
-  /** The whole answer came, from the adapter and version asked for. */
+  /** The complete answer arrived, from the requested adapter and version. */
   WHOLE,
-  /** Something was wrong with the answer, or with what the caller was told. */
+  /** The answer, or the outcome that was reported to the caller, was wrong. */
   WRONG,
-  /** The caller was told that it did not run, or could not even connect. */
+  /** The request was reported as not run, or the caller could not connect. */
   NOT_RUN,
-  /** The caller was told that it may have run, or lost its connection. */
+  /** The request was reported as possibly run, or the connection was lost. */
   UNKNOWN,
-  /** Nothing came in the time that the caller waited. */
+  /** No complete answer arrived before the caller's timeout. */
   UNANSWERED
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/ZipfDistribution.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/ZipfDistribution.java
@@ -4,7 +4,8 @@
 import java.util.Random;
 
 /**
- * Draws ranks so that rank k comes with a frequency of 1 / (k + 1) to the power of the skew.
+ * Zipf distribution: the probability of rank k is proportional to 1 / (k + 1) to the power of the
+ * skew.
  *
  * <p>Instances are immutable and safe for use by several threads.
  */
@@ -15,8 +16,8 @@
   /**
    * Makes a distribution.
    *
-   * @param size how many ranks there are
-   * @param skew how steeply the frequency falls; 0 makes all ranks equal
+   * @param size number of ranks
+   * @param skew exponent; 0 gives a uniform distribution
    */
   public ZipfDistribution(int size, double skew) {
     if (size < 1) {
@@ -34,9 +35,9 @@
   }
 
   /**
-   * Returns a rank, from 0.
+   * Draws a rank, from 0.
    *
-   * @param random what decides
+   * @param random source of random numbers
    */
   public int next(Random random) {
     double drawn = random.nextDouble() * cumulative[cumulative.length - 1];
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/package-info.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/package-info.java
@@ -1,2 +1,2 @@
-/** Open-loop load on the daemons, with a check of every answer. */
+/** Open-loop load generator for the daemons that checks every answer. */
 package io.sequoiapass.testbed.load;
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/ChangeWatch.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/ChangeWatch.java
@@ -16,10 +16,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Makes changes of adapters and finds in the daemons' time lines when each came into force. */
+/** Changes adapters and finds in the daemons' time lines when each change was applied. */
 final class ChangeWatch {
 
-  private static final long LOOK_MS = 250;
+  private static final long POLL_INTERVAL_MS = 250;
 
   private final Cluster cluster;
   private final MillisClock wall = MillisClock.wall();
@@ -30,7 +30,7 @@
     this.cluster = cluster;
   }
 
-  /** Changes an adapter; the time of its acceptance is taken before the call, so not too late. */
+  /** Changes an adapter; the start time is taken before the call, so that no delay is omitted. */
   void change(String adapter) throws IOException, InterruptedException {
     List<String> versions = List.of(ClusterNames.FORMER_VERSION, ClusterNames.CURRENT_VERSION);
     ObjectValues.Adapter value =
@@ -44,12 +44,12 @@
     changes.add(new Change(adapter, stored.get("version").getAsLong(), sentAt));
   }
 
-  /** Waits until all changes are in force everywhere, or the limit has passed. */
+  /** Waits until all daemons have applied all changes, or until the limit has passed. */
   PropagationTimes await(long limitMs) throws IOException, InterruptedException {
     long end = wall.millis() + limitMs;
     PropagationTimes times = times();
     while (times.lost() > 0 && wall.millis() < end) {
-      TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
       times = times();
     }
     return times;
@@ -77,7 +77,7 @@
     return new PropagationTimes(millis, changes.size(), lost);
   }
 
-  /** Returns what a daemon applied, by the adapter's name. */
+  /** Returns the versions that a daemon applied, by adapter name. */
   private Map<String, List<Applied>> applied(DaemonNode daemon)
       throws IOException, InterruptedException {
     String query = "/timeline?kind=CONFIGURATION_APPLIED&limit=10000&since=" + since;
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/ControlMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/ControlMeasurement.java
@@ -16,21 +16,21 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Measures what control costs one daemon that serves nothing, at several sizes of its data centre,
- * and the line through them.
+ * Measures the cost of the control plane per idle daemon at several sizes of the data centre, and
+ * fits a line through the results.
  *
- * <p>Engines are many endpoints on one stand-in: an idle owner only looks at their state, so the
- * number of processes behind them does not matter to it.
+ * <p>All engines are endpoints of one stand-in: an idle owner only polls their state, so the number
+ * of processes behind them makes no difference.
  */
 final class ControlMeasurement {
 
-  /** Daemons of one data centre at the size to design for. */
-  private static final int TARGET = 17;
+  /** Number of daemons per data centre that the design aims at. */
+  private static final int TARGET_DAEMONS = 17;
 
   private static final int LEASE_MARGIN_MS = 500;
 
   private static final long READY_LIMIT_MS = 60_000;
-  private static final long LOOK_MS = 200;
+  private static final long POLL_INTERVAL_MS = 200;
 
   private final int seconds;
   private final int warmUp;
@@ -70,15 +70,15 @@
       System.out.println(row.line());
     }
     if (rows.size() > 1) {
-      slope("control B/s with headers", rows, row -> row.used.bytesWithHeaders());
-      slope("CPU of a core in %", rows, row -> row.used.cpuPercent());
-      slope("RSS MB", rows, row -> row.used.residentMb());
-      slope("platform calls/s", rows, row -> row.used.platformCalls());
+      printSlope("control B/s with headers", rows, row -> row.used.bytesWithHeaders());
+      printSlope("CPU of a core in %", rows, row -> row.used.cpuPercent());
+      printSlope("RSS MB", rows, row -> row.used.residentMb());
+      printSlope("platform calls/s", rows, row -> row.used.platformCalls());
     }
     return 0;
   }
 
-  private static void slope(String what, List<Row> rows, ToDoubleFunction<Row> value) {
+  private static void printSlope(String what, List<Row> rows, ToDoubleFunction<Row> value) {
     Slope slope =
         Slope.fit(
             rows.stream().map(row -> new Slope.Point(row.size, value.applyAsDouble(row))).toList());
@@ -87,8 +87,8 @@
         "%s: %.3f for each daemon, %.2f at %d, worst residual %.0f %%%n",
         what,
         slope.perUnit(),
-        slope.at(TARGET),
-        TARGET,
+        slope.at(TARGET_DAEMONS),
+        TARGET_DAEMONS,
         100 * slope.worstResidual());
   }
 
@@ -135,8 +135,8 @@
   private static void awaitOwned(Cluster cluster, int wanted)
       throws IOException, InterruptedException {
     int owned = owned(cluster);
-    for (long looks = READY_LIMIT_MS / LOOK_MS; owned != wanted && looks > 0; looks--) {
-      Thread.sleep(LOOK_MS);
+    for (long polls = READY_LIMIT_MS / POLL_INTERVAL_MS; owned != wanted && polls > 0; polls--) {
+      Thread.sleep(POLL_INTERVAL_MS);
       owned = owned(cluster);
     }
     if (owned != wanted) {
@@ -149,7 +149,7 @@
     return cluster.objects().value("ownership", any.dataCentre()).getAsJsonObject("owners").size();
   }
 
-  /** Is what was measured at one size. */
+  /** Result for one size. */
   private record Row(int size, ControlSample.Usage used, String load) {
 
     String line() {
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/ControlSample.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/ControlSample.java
@@ -11,13 +11,13 @@
 import java.util.TreeMap;
 
 /**
- * Holds sums over all daemons of a cluster at one moment.
+ * Resource counters summed over all daemons of a cluster at one point in time.
  *
- * @param atSeconds the moment
- * @param daemons how many daemons
- * @param cpuMillis their processor time
- * @param residentKb their memory
- * @param threads their threads
+ * @param atSeconds time of the sample, in seconds on the monotonic clock
+ * @param daemons number of daemons
+ * @param cpuMillis processor time, in milliseconds
+ * @param residentKb resident memory, in KiB
+ * @param threads number of threads
  * @param bytes control bytes sent to peers
  * @param frames control frames sent to peers
  * @param calls calls to the platform by kind
@@ -32,8 +32,8 @@
     long frames,
     Map<String, Long> calls) {
 
-  /** IPv4 and TCP headers with time stamps; a frame of control travels alone. */
-  private static final int PACKET_BYTES = 52;
+  /** Size of IPv4 and TCP headers with time stamps; a control frame is sent in a packet of its own. */
+  private static final int PACKET_HEADER_BYTES = 52;
 
   static ControlSample of(Cluster cluster) throws IOException, InterruptedException {
     long cpu = 0;
@@ -73,7 +73,7 @@
     return calls;
   }
 
-  /** Returns what one daemon used a second since an earlier sample, and holds now. */
+  /** Returns the usage per daemon: rates since an earlier sample, and current memory and threads. */
   Usage since(ControlSample before) {
     double perDaemon = (atSeconds - before.atSeconds) * daemons;
     Map<String, Double> byKind = new TreeMap<>();
@@ -84,7 +84,7 @@
     double packets = (frames - before.frames) / perDaemon;
     return new Usage(
         sent,
-        sent + packets * PACKET_BYTES,
+        sent + packets * PACKET_HEADER_BYTES,
         (cpuMillis - before.cpuMillis) / perDaemon / 10,
         residentKb / 1_024.0 / daemons,
         (double) threads / daemons,
@@ -92,14 +92,14 @@
   }
 
   /**
-   * Is what one daemon uses.
+   * Mean resource usage of one daemon.
    *
-   * @param bytes control bytes a second
-   * @param bytesWithHeaders the same with a packet's headers for each frame
-   * @param cpuPercent processor time, in per cent of a core
-   * @param residentMb memory
-   * @param threads threads
-   * @param callsByKind calls to the platform a second
+   * @param bytes control bytes per second
+   * @param bytesWithHeaders control bytes per second including packet headers for each frame
+   * @param cpuPercent processor time, as a percentage of one core
+   * @param residentMb resident memory, in MiB
+   * @param threads number of threads
+   * @param callsByKind calls to the platform per second, by kind
    */
   record Usage(
       double bytes,
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/DaemonMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/DaemonMeasurement.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures what a daemon uses when idle, at today's share of the planned peak, and at three times
- * that.
+ * Measures the resource usage of a daemon when idle, at a given rate, which stands for its share of
+ * the planned peak, and at three times that rate.
  *
- * <p>Two daemons, each the entry of the rate given and the owner of half the engines, so that about
- * half of the requests go through both. All adapters fit the engines' slots: what loads cost the
- * daemon is not in these figures.
+ * <p>Each of two daemons receives the given rate and owns half of the engines, so that about half
+ * of the requests pass through both. All adapters fit into the engines' slots, so the figures don't
+ * include the cost of adapter loads.
  */
 final class DaemonMeasurement {
 
@@ -73,10 +73,10 @@
           "| load | requests/s | tokens/s | CPU of a core in % | RSS MB | peak RSS MB | control B/s"
               + " | data B/s | platform calls/s | not whole |");
       System.out.println("|---|---|---|---|---|---|---|---|---|---|");
-      idle(cluster);
-      boolean whole = level(cluster, "1x", rate);
-      whole &= level(cluster, "3x", 3 * rate);
-      return whole ? 0 : 1;
+      measureIdle(cluster);
+      boolean complete = measureLevel(cluster, "1x", rate);
+      complete &= measureLevel(cluster, "3x", 3 * rate);
+      return complete ? 0 : 1;
     }
   }
 
@@ -84,13 +84,13 @@
     return new LoadPlan(duration, perSecond, ADAPTERS, 0, tokensPerRequest, 0, 0, 0, planSeed);
   }
 
-  private void idle(Cluster cluster) throws IOException, InterruptedException {
+  private void measureIdle(Cluster cluster) throws IOException, InterruptedException {
     Sample before = Sample.of(cluster);
     TimeUnit.SECONDS.sleep(seconds);
-    row("idle", Sample.of(cluster).since(before), 0, 0, 0);
+    printRow("idle", Sample.of(cluster).since(before), 0, 0, 0);
   }
 
-  private boolean level(Cluster cluster, String name, int perSecond)
+  private boolean measureLevel(Cluster cluster, String name, int perSecond)
       throws IOException, InterruptedException {
     LoadPlan plan = plan(SETTLE_SECONDS + seconds, DAEMONS * perSecond, seed);
     try (LoadTool tool = tool(cluster)) {
@@ -103,14 +103,14 @@
       double sent = (tool.sent() - sentBefore) / used.seconds / DAEMONS;
       LoadReport report = tool.await(ANSWERS_LIMIT_MS);
       double tokens = sent * meanTokens(report);
-      long notWhole = report.sent() - report.count(Verdict.WHOLE);
-      row(name, used, sent, tokens, notWhole);
+      long incomplete = report.sent() - report.count(Verdict.WHOLE);
+      printRow(name, used, sent, tokens, incomplete);
       report.reasons(3).forEach(System.out::println);
-      return notWhole == 0;
+      return incomplete == 0;
     }
   }
 
-  /** Asks for adapters until they are loaded, so that no load falls into a measurement. */
+  /** Requests the adapters until they are loaded, so that no load occurs during a measurement. */
   private void loadAdapters(Cluster cluster) throws InterruptedException {
     try (LoadTool tool = tool(cluster)) {
       tool.start(plan(LOAD_SECONDS, LOAD_RATE, seed + 1).requests());
@@ -123,12 +123,12 @@
   }
 
   private static double meanTokens(LoadReport report) {
-    List<RequestResult> whole =
+    List<RequestResult> complete =
         report.results().stream().filter(result -> result.verdict() == Verdict.WHOLE).toList();
-    return whole.stream().mapToInt(result -> result.request().maxTokens()).average().orElse(0);
+    return complete.stream().mapToInt(result -> result.request().maxTokens()).average().orElse(0);
   }
 
-  private static void row(String name, Sample used, double requests, double tokens, long notWhole) {
+  private static void printRow(String name, Sample used, double requests, double tokens, long incomplete) {
     System.out.printf(
         "| %s | %.0f | %.0f | %.1f | %.0f | %.0f | %.0f | %.0f | %.1f | %d |%n",
         name,
@@ -140,10 +140,10 @@
         used.controlBytes / used.seconds / DAEMONS,
         used.dataBytes / used.seconds / DAEMONS,
         used.platformCalls / used.seconds / DAEMONS,
-        notWhole);
+        incomplete);
   }
 
-  /** Sums over all daemons at one moment, or between two. */
+  /** Sums over all daemons at one point in time, or the differences between two. */
   private record Sample(
       double seconds,
       long cpuMillis,
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultKind.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultKind.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Names the faults of a fault run. */
+/** Faults that a run can inject. */
 enum FaultKind {
-  /** A daemon is killed, and replaced under its name at the end. */
+  /** A daemon is killed, and restarted under the same name at the end. */
   KILL_DAEMON(true) {
     @Override
     void begin(Cluster cluster, int target) {
@@ -27,7 +27,7 @@
       cluster.restart(daemon(cluster, target));
     }
   },
-  /** A daemon's process stands still. */
+  /** A daemon's process is paused. */
   FREEZE_DAEMON(true) {
     @Override
     void begin(Cluster cluster, int target) throws IOException, InterruptedException {
@@ -39,31 +39,31 @@
       daemon(cluster, target).process().resume();
     }
   },
-  /** A daemon and its peers lose each other; callers, endpoints and platform stay. */
+  /** A daemon is partitioned from its peers, but not from callers, endpoints and platform. */
   CUT_PEERS(false) {
     @Override
     void begin(Cluster cluster, int target) {
-      peers(cluster, target, ProxyFault.cut());
+      setPeerFault(cluster, target, ProxyFault.cut());
     }
 
     @Override
     void end(Cluster cluster, int target) {
-      peers(cluster, target, ProxyFault.none());
+      setPeerFault(cluster, target, ProxyFault.none());
     }
   },
-  /** What the daemon sends to its peers over its own connections hangs, and closes nothing. */
+  /** Data from the initiator of a connection between the daemon and a peer stalls; it stays open. */
   HANG_PEERS(false) {
     @Override
     void begin(Cluster cluster, int target) {
-      peers(cluster, target, ProxyFault.oneWayCut(Direction.TO_TARGET));
+      setPeerFault(cluster, target, ProxyFault.oneWayCut(Direction.TO_TARGET));
     }
 
     @Override
     void end(Cluster cluster, int target) {
-      peers(cluster, target, ProxyFault.none());
+      setPeerFault(cluster, target, ProxyFault.none());
     }
   },
-  /** A daemon loses the platform. */
+  /** A daemon is partitioned from the platform. */
   CUT_PLATFORM(false) {
     @Override
     void begin(Cluster cluster, int target) {
@@ -75,7 +75,7 @@
       cluster.proxies().toPlatform(daemon(cluster, target).id()).set(ProxyFault.none());
     }
   },
-  /** The platform is out for all. */
+  /** The platform is unavailable to all daemons. */
   PLATFORM_OUT(false) {
     @Override
     void begin(Cluster cluster, int target) throws IOException, InterruptedException {
@@ -87,7 +87,7 @@
       cluster.faults(cluster.platformAddress(), "{}");
     }
   },
-  /** An engine restarts empty. */
+  /** An engine restarts without loaded adapters. */
   RESTART_ENGINE(false) {
     @Override
     void begin(Cluster cluster, int target) throws IOException, InterruptedException {
@@ -99,7 +99,7 @@
       cluster.faults(endpoint(cluster, EndpointKind.ENGINE, target), "{}");
     }
   },
-  /** A plain service runs what it gets and its answers are lost. */
+  /** A plain service runs the requests that it receives, but its answers are lost. */
   LOSE_ANSWERS(false) {
     @Override
     void begin(Cluster cluster, int target) throws IOException, InterruptedException {
@@ -118,7 +118,7 @@
     this.takesDaemonDown = takesDaemonDown;
   }
 
-  /** Returns whether a balancer sends no callers to the daemon meanwhile. */
+  /** Returns whether a balancer takes the daemon out of rotation during the fault. */
   boolean takesDaemonDown() {
     return takesDaemonDown;
   }
@@ -128,15 +128,15 @@
   abstract void end(Cluster cluster, int target) throws IOException, InterruptedException;
 
   /**
-   * Returns the kind of that name, or all for an empty one.
+   * Returns the kind with a name, or all kinds for an empty name.
    *
-   * @throws UsageException if there is none
+   * @throws UsageException if there is no such kind
    */
   static Set<FaultKind> named(String name) throws UsageException {
     EnumSet<FaultKind> kinds = EnumSet.allOf(FaultKind.class);
     kinds.removeIf(kind -> !name.isEmpty() && !kind.name().equals(name));
     if (kinds.isEmpty()) {
-      throw new UsageException("no such kind of fault: " + name);
+      throw new UsageException("unknown kind of fault: " + name);
     }
     return kinds;
   }
@@ -150,7 +150,7 @@
     return nodes.get(target % nodes.size()).address();
   }
 
-  private static void peers(Cluster cluster, int target, ProxyFault fault) {
+  private static void setPeerFault(Cluster cluster, int target, ProxyFault fault) {
     DaemonNode daemon = daemon(cluster, target);
     for (DaemonNode peer : cluster.daemons()) {
       if (peer != daemon) {
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultSchedule.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultSchedule.java
@@ -12,28 +12,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Draws the faults of a run from a seed and plays them on a cluster, one after the other and now
- * and then two together.
+ * Random schedule of faults, drawn from a seed and injected into a cluster; some faults overlap in
+ * pairs.
  *
- * <p>Played by one thread; the balancer is asked by any.
+ * <p>One thread may call {@link #run}; {@link #pick} is safe for use by several threads.
  */
 final class FaultSchedule {
 
-  private static final int SHORTEST_MS = 200;
-  private static final int LONGEST_MS = 5_000;
-  private static final int GAP_MS = 1_500;
-  private static final double TWICE_SHARE = 0.25;
+  private static final int MIN_DURATION_MS = 200;
+  private static final int MAX_DURATION_MS = 5_000;
+  private static final int MIN_GAP_MS = 1_500;
+  private static final double OVERLAP_PROBABILITY = 0.25;
 
   private record Planned(FaultKind kind, int target, long beginMs, long endMs) {}
 
   /**
-   * Is a fault as it was played.
+   * A fault that was injected.
    *
-   * @param kind what it was
-   * @param beginMicros when it began, from the start of the load
-   * @param endMicros when it had ended
+   * @param kind kind of the fault
+   * @param beginMicros start of the fault, in microseconds from the start of the load
+   * @param endMicros time at which the fault had been removed, in the same unit
    */
-  record Played(FaultKind kind, long beginMicros, long endMicros) {}
+  record InjectedFault(FaultKind kind, long beginMicros, long endMicros) {}
 
   private record Event(long atMs, boolean begins, Planned fault) {}
 
@@ -43,31 +43,31 @@
   private final Set<Integer> down = ConcurrentHashMap.newKeySet();
 
   /**
-   * Draws the faults.
+   * Creates a schedule.
    *
-   * @param cluster what they are played on
+   * @param cluster the cluster to inject the faults into
    * @param kinds the kinds to draw from
-   * @param seconds how long new ones begin
-   * @param seed seed of all that is drawn
+   * @param seconds time from the start during which faults begin
+   * @param seed seed of the random numbers
    */
   FaultSchedule(Cluster cluster, Set<FaultKind> kinds, int seconds, long seed) {
     this.cluster = cluster;
     this.kinds = List.copyOf(kinds);
     Random random = new Random(seed);
     long last = TimeUnit.SECONDS.toMillis(seconds);
-    for (long at = GAP_MS; at < last; ) {
+    for (long at = MIN_GAP_MS; at < last; ) {
       Planned first = draw(random, at);
       planned.add(first);
       long end = first.endMs;
-      if (random.nextDouble() < TWICE_SHARE) {
-        Planned second = draw(random, at + random.nextInt(SHORTEST_MS));
-        // Two on one target would undo each other.
+      if (random.nextDouble() < OVERLAP_PROBABILITY) {
+        Planned second = draw(random, at + random.nextInt(MIN_DURATION_MS));
+        // The end of one fault would undo the other if both had the same target.
         if (second.kind != first.kind && second.target != first.target) {
           planned.add(second);
           end = Math.max(end, second.endMs);
         }
       }
-      at = end + GAP_MS + random.nextInt(GAP_MS);
+      at = end + MIN_GAP_MS + random.nextInt(MIN_GAP_MS);
     }
   }
 
@@ -75,10 +75,10 @@
     FaultKind kind = kinds.get(random.nextInt(kinds.size()));
     int target = random.nextInt(cluster.daemons().size());
     return new Planned(
-        kind, target, atMs, atMs + SHORTEST_MS + random.nextInt(LONGEST_MS - SHORTEST_MS));
+        kind, target, atMs, atMs + MIN_DURATION_MS + random.nextInt(MAX_DURATION_MS - MIN_DURATION_MS));
   }
 
-  /** Returns where a balancer sends a request: in turn, to daemons that are not down. */
+  /** Selects the daemon for a request: round-robin over the daemons that are not down. */
   InetSocketAddress pick(int number) {
     int daemons = cluster.daemons().size();
     for (int i = 0; i < daemons; i++) {
@@ -90,18 +90,18 @@
   }
 
   /**
-   * Plays all faults and returns them as they were.
+   * Injects all faults and returns them with their actual times.
    *
-   * @param startNanos when the load began
+   * @param startNanos start of the load, on the monotonic clock
    */
-  List<Played> play(long startNanos) throws IOException, InterruptedException {
+  List<InjectedFault> run(long startNanos) throws IOException, InterruptedException {
     List<Event> events = new ArrayList<>();
     for (Planned fault : planned) {
       events.add(new Event(fault.beginMs, true, fault));
       events.add(new Event(fault.endMs, false, fault));
     }
     events.sort(Comparator.comparingLong(Event::atMs));
-    List<Played> played = new ArrayList<>();
+    List<InjectedFault> injected = new ArrayList<>();
     List<Long> begun = new ArrayList<>();
     List<Planned> open = new ArrayList<>();
     for (Event event : events) {
@@ -112,19 +112,19 @@
         begun.add(micros(startNanos));
         open.add(fault);
         fault.kind.begin(cluster, fault.target);
-        mark(fault, true);
+        setDown(fault, true);
       } else {
         fault.kind.end(cluster, fault.target);
-        mark(fault, false);
+        setDown(fault, false);
         int index = open.indexOf(fault);
         open.remove(index);
-        played.add(new Played(fault.kind, begun.remove(index), micros(startNanos)));
+        injected.add(new InjectedFault(fault.kind, begun.remove(index), micros(startNanos)));
       }
     }
-    return played;
+    return injected;
   }
 
-  private void mark(Planned fault, boolean begins) {
+  private void setDown(Planned fault, boolean begins) {
     if (fault.kind.takesDaemonDown()) {
       if (begins) {
         down.add(fault.target);
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultsMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultsMeasurement.java
@@ -8,7 +8,7 @@
 import io.sequoiapass.testbed.load.PlannedRequest;
 import io.sequoiapass.testbed.load.RequestResult;
 import io.sequoiapass.testbed.load.Verdict;
-import io.sequoiapass.testbed.measure.FaultSchedule.Played;
+import io.sequoiapass.testbed.measure.FaultSchedule.InjectedFault;
 import java.io.IOException;
 import java.util.EnumMap;
 import java.util.List;
@@ -18,23 +18,23 @@
 import java.util.function.Predicate;
 
 /**
- * Measures what callers are told, and what really ran, while daemons are killed, frozen and cut
- * off, engines restart and answers get lost.
+ * Measures the results that callers receive, and compares them with what ran, while daemons are
+ * killed, paused and partitioned, engines restart and answers are lost.
  *
- * <p>A third of the requests are slips that may run once, half of these without a key; a third of
- * the completions may run once too. The stand-ins are the judges of what ran.
+ * <p>A third of the requests are slips that must not run twice, half of them without a key; a third
+ * of the completions must not run twice either. The stand-ins record what ran.
  */
 final class FaultsMeasurement {
 
   private static final int DAEMONS = 3;
   private static final int ADAPTERS = 30;
   private static final int TOKENS = 30;
-  private static final double SLIPS = 0.33;
-  private static final double ONCE = 0.33;
-  private static final int SECONDS_AFTER = 8;
+  private static final double SLIP_FRACTION = 0.33;
+  private static final double ONCE_FRACTION = 0.33;
+  private static final int FAULT_FREE_END_SECONDS = 8;
   private static final long READY_LIMIT_MS = 60_000;
   private static final long ANSWERS_LIMIT_MS = 60_000;
-  private static final int REASONS = 14;
+  private static final int MAX_REASONS = 14;
 
   private final Set<FaultKind> kinds;
   private final int seconds;
@@ -60,34 +60,34 @@
             .leases(3_000, 500, 500)
             .start()) {
       cluster.awaitServing(READY_LIMIT_MS);
-      FaultSchedule faults = new FaultSchedule(cluster, kinds, seconds - SECONDS_AFTER, seed);
+      FaultSchedule faults = new FaultSchedule(cluster, kinds, seconds - FAULT_FREE_END_SECONDS, seed);
       try (LoadTool tool = LoadTool.through(faults::pick)) {
         List<PlannedRequest> requests = requests();
         long start = System.nanoTime();
         tool.start(requests);
-        List<Played> played = faults.play(start);
+        List<InjectedFault> injected = faults.run(start);
         LoadReport report = Judgement.of(cluster).apply(tool.await(ANSWERS_LIMIT_MS));
-        return print(report, played);
+        return print(report, injected);
       }
     }
   }
 
   private List<PlannedRequest> requests() {
     Random random = new Random(seed);
-    return new LoadPlan(seconds, rate, ADAPTERS, 1, TOKENS, SLIPS, ONCE, 0, seed)
+    return new LoadPlan(seconds, rate, ADAPTERS, 1, TOKENS, SLIP_FRACTION, ONCE_FRACTION, 0, seed)
         .requests().stream()
             .map(request -> random.nextBoolean() ? request : request.withoutKey())
             .toList();
   }
 
-  private static int print(LoadReport report, List<Played> played) {
-    long duplicates = count(report, wrong("may not run twice"));
-    long falseNotRun = count(report, wrong("told NOT RUN"));
+  private static int print(LoadReport report, List<InjectedFault> injected) {
+    long duplicates = count(report, wrong("must not run twice"));
+    long falseNotRun = count(report, wrong("reported as NOT RUN"));
     long unknown = report.count(Verdict.UNKNOWN);
-    Predicate<RequestResult> connectionLost = result -> !isTold(result.detail());
+    Predicate<RequestResult> connectionLost = result -> !isReportedByDaemon(result.detail());
     long lost = count(report, connectionLost.and(result -> result.verdict() == Verdict.UNKNOWN));
-    long inFlight = count(report, result -> overlaps(result, played));
-    long at = count(report, result -> startsIn(result, played));
+    long inFlight = count(report, result -> overlaps(result, injected));
+    long at = count(report, result -> startsIn(result, injected));
     System.out.println(
         "| requests | duplicates | false NOT RUN | otherwise wrong | UNKNOWN | of these, connection"
             + " of the caller lost | NOT RUN | unanswered | not whole | in flight at the start of a"
@@ -118,15 +118,15 @@
             repeatable
                 .and(connectionLost.negate())
                 .and(result -> result.verdict() == Verdict.UNKNOWN)));
-    printFaults(report, played);
-    report.reasons(REASONS).forEach(System.out::println);
+    printFaults(report, injected);
+    report.reasons(MAX_REASONS).forEach(System.out::println);
     return duplicates + falseNotRun == 0 ? 0 : 1;
   }
 
-  private static void printFaults(LoadReport report, List<Played> played) {
+  private static void printFaults(LoadReport report, List<InjectedFault> injected) {
     Map<FaultKind, Integer> faults = new EnumMap<>(FaultKind.class);
     Map<FaultKind, Long> unknown = new EnumMap<>(FaultKind.class);
-    for (Played fault : played) {
+    for (InjectedFault fault : injected) {
       faults.merge(fault.kind(), 1, Integer::sum);
       long during =
           count(
@@ -141,8 +141,8 @@
     return result -> result.verdict() == Verdict.WRONG && result.detail().startsWith(detail);
   }
 
-  /** Returns whether a daemon told the caller so, rather than the connection's end. */
-  private static boolean isTold(String detail) {
+  /** Returns whether a daemon reported the result, rather than the connection being lost. */
+  private static boolean isReportedByDaemon(String detail) {
     return detail.contains("\"kind\"") || detail.contains(" after ");
   }
 
@@ -150,19 +150,19 @@
     return report.results().stream().filter(which).count();
   }
 
-  private static boolean startsIn(RequestResult result, List<Played> played) {
+  private static boolean startsIn(RequestResult result, List<InjectedFault> injected) {
     long from = result.request().atMicros();
     long to = from + result.tookMicros();
-    return played.stream().anyMatch(f -> f.beginMicros() >= from && f.beginMicros() <= to);
+    return injected.stream().anyMatch(f -> f.beginMicros() >= from && f.beginMicros() <= to);
   }
 
-  private static boolean overlaps(RequestResult result, List<Played> played) {
+  private static boolean overlaps(RequestResult result, List<InjectedFault> injected) {
     long from = result.request().atMicros();
     long to = from + result.tookMicros();
-    return played.stream().anyMatch(f -> f.beginMicros() <= to && f.endMicros() >= from);
+    return injected.stream().anyMatch(f -> f.beginMicros() <= to && f.endMicros() >= from);
   }
 
-  private static double percent(long part, long whole) {
-    return whole == 0 ? 0 : 100.0 * part / whole;
+  private static double percent(long part, long total) {
+    return total == 0 ? 0 : 100.0 * part / total;
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/FirstTokenProbe.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/FirstTokenProbe.java
@@ -8,15 +8,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notes when the first part of an answer's body came; used on the connection's event loop.
+ * Records when the first part of an answer's body arrives. Confined to the connection's event loop.
  *
- * <p>It looks at no token, so that both ways of a comparison cost the measuring side the same.
+ * <p>Does not parse tokens, so that the cost on the measuring side is the same for all paths.
  */
 final class FirstTokenProbe implements HttpStreamListener {
 
   private final PathTimes times;
   private final boolean counts;
-  private final long startedAt = System.nanoTime();
+  private final long startedAtNanos = System.nanoTime();
   private final ByteArrayOutputStream refusal = new ByteArrayOutputStream();
   private int status;
   private long firstNanos = -1;
@@ -34,7 +34,7 @@
   @Override
   public void received(byte[] part) {
     if (firstNanos < 0) {
-      firstNanos = System.nanoTime() - startedAt;
+      firstNanos = System.nanoTime() - startedAtNanos;
     }
     if (status != 200) {
       refusal.writeBytes(part);
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/LatencyMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/LatencyMeasurement.java
@@ -22,8 +22,9 @@
  * Measures the time to the first token on three paths side by side: to the engine directly, through
  * the engine's owner, and through another daemon and the owner.
  *
- * <p>All three go to one engine at the same rate in the same run, so that its steps, its load and
- * the machine's other work fall on all alike. Adapters are loaded before.
+ * <p>All three paths lead to one engine at the same rate in the same run, so that the engine's steps
+ * and load and other work on the machine affect all of them equally. Adapters are loaded before the
+ * measurement.
  */
 final class LatencyMeasurement {
 
@@ -33,7 +34,7 @@
   private static final int WARM_UP_CALLS = 5;
   private static final long READY_LIMIT_MS = 20_000;
   private static final long TIMEOUT_MS = 20_000;
-  private static final long LOOK_MS = 50;
+  private static final long POLL_INTERVAL_MS = 50;
 
   private final int seconds;
   private final int rate;
@@ -63,7 +64,7 @@
     }
   }
 
-  /** Returns the daemon that has to hand its requests on, which shows in the data it sends. */
+  /** Returns the daemon that forwards its requests, detected from the bytes it sends to its peer. */
   private static DaemonNode findForwarder(Cluster cluster)
       throws IOException, InterruptedException {
     DaemonNode first = cluster.daemons().get(0);
@@ -92,9 +93,9 @@
       if (answer.ok()) {
         return;
       }
-      Thread.sleep(LOOK_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
-    throw new IOException("no answer from " + daemon.id() + " in " + WARM_UP_CALLS + " calls");
+    throw new IOException("no answer from " + daemon.id() + " after " + WARM_UP_CALLS + " calls");
   }
 
   private int measure(Cluster cluster, DaemonNode owner, DaemonNode other)
@@ -125,22 +126,22 @@
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
-    return tell(direct, one, two);
+    return print(direct, one, two);
   }
 
   private void awaitAll(long planned, List<PathTimes> paths)
       throws IOException, InterruptedException {
-    long looks = (TimeUnit.SECONDS.toMillis(WARM_UP_SECONDS + seconds) + TIMEOUT_MS) / LOOK_MS;
+    long polls = (TimeUnit.SECONDS.toMillis(WARM_UP_SECONDS + seconds) + TIMEOUT_MS) / POLL_INTERVAL_MS;
     while (paths.stream().mapToLong(PathTimes::endedCount).sum() < planned) {
-      looks--;
-      if (looks < 0) {
+      polls--;
+      if (polls < 0) {
         throw new IOException("not all of " + planned + " requests ended");
       }
-      Thread.sleep(LOOK_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
-  private int tell(PathTimes direct, PathTimes one, PathTimes two) {
+  private int print(PathTimes direct, PathTimes one, PathTimes two) {
     System.out.printf("first token in ms, %d requests/s on each path, %d s%n", rate, seconds);
     System.out.println(
         "| path                             | requests | failed | p50 | p95 | p99 |");
@@ -201,13 +202,13 @@
                     TOKENS));
   }
 
-  /** Makes the call of one request. */
+  /** Creates the call of one request. */
   @FunctionalInterface
-  interface Calls {
+  interface CallFactory {
     HttpCall call(int id, int adapter);
   }
 
-  /** Sends one path's requests at random times with a mean rate. */
+  /** Sends the requests of one path with exponential gaps at a mean rate. */
   private static final class PathLoad {
 
     private final MultiThreadIoEventLoopGroup group;
@@ -229,17 +230,17 @@
       this.random = random;
     }
 
-    long schedule(int warmUpSeconds, int seconds, Calls calls) {
+    long schedule(int warmUpSeconds, int seconds, CallFactory calls) {
       double at = 0;
       int id = 0;
-      // Random gaps: at even gaps of 5 ms the requests would meet the engine's steps in one phase.
+      // Random gaps: with even gaps of 5 ms all requests would hit the same phase of engine steps.
       for (at += gap(); at < warmUpSeconds + seconds; at += gap()) {
-        boolean counts = at >= warmUpSeconds;
+        boolean measured = at >= warmUpSeconds;
         HttpCall call = calls.call(id, random.nextInt(ADAPTERS));
         group
             .next()
             .schedule(
-                () -> client.stream(call, TIMEOUT_MS, new FirstTokenProbe(times, counts)),
+                () -> client.stream(call, TIMEOUT_MS, new FirstTokenProbe(times, measured)),
                 (long) (at * 1e6),
                 TimeUnit.MICROSECONDS);
         id++;
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/MachineLoad.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/MachineLoad.java
@@ -4,12 +4,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Tells how busy the machine is, since a figure from a busy machine says little. */
+/** Reports the load of the machine, since results from a busy machine are not reliable. */
 final class MachineLoad {
 
   private MachineLoad() {}
 
-  /** Returns the load averages and the number of processors, as one line. */
+  /** Returns the load averages and the number of processors as one line. */
   static String line() throws IOException {
     String averages = Files.readString(Path.of("/proc/loadavg")).trim();
     return "load averages "
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/MeasureTopic.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/MeasureTopic.java
@@ -6,9 +6,9 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Names what can be measured, each with its flags. */
+/** Topics that can be measured, each with its flags. */
 public enum MeasureTopic {
-  /** The time that daemons add before the first token. */
+  /** Latency that daemons add to the first token. */
   LATENCY {
     @Override
     Flags.Definition definition() {
@@ -24,15 +24,15 @@
           .run();
     }
   },
-  /** What callers are told, and what ran, while parts fail. */
+  /** Results that callers receive, compared with what ran, under faults. */
   FAULTS {
     @Override
     Flags.Definition definition() {
       return Flags.define()
-          .flag("seconds", "190", "how long requests come")
+          .flag("seconds", "190", "duration of the load in seconds")
           .flag("rate", "110", "requests a second")
           .flag("seed", "1", "seed of the load and of the faults")
-          .flag("only", "", "the one kind of fault to play, as KILL_DAEMON; without it all");
+          .flag("only", "", "a single kind of fault to inject, such as KILL_DAEMON; default all");
     }
 
     @Override
@@ -45,7 +45,7 @@
           .run();
     }
   },
-  /** What a daemon uses. */
+  /** Resource usage of a daemon. */
   DAEMON {
     @Override
     Flags.Definition definition() {
@@ -72,7 +72,7 @@
           .run();
     }
   },
-  /** What is answered in time under an overload, with admission and without. */
+  /** Goodput under overload, with and without admission control. */
   OVERLOAD {
     @Override
     Flags.Definition definition() {
@@ -93,7 +93,7 @@
           .run();
     }
   },
-  /** What control costs a daemon that serves nothing. */
+  /** Cost of the control plane for an idle daemon. */
   CONTROL {
     @Override
     Flags.Definition definition() {
@@ -118,7 +118,7 @@
           .run();
     }
   },
-  /** How long callers wait with our placement and with the baseline. */
+  /** Latency with adaptive placement and with the LRU baseline. */
   PLACEMENT {
     @Override
     Flags.Definition definition() {
@@ -139,7 +139,7 @@
       return new VariantMeasurement(size).run("placement-policy", List.of("adaptive", "lru"));
     }
   },
-  /** What the time line costs: a ring as set by default and the smallest one, twice each. */
+  /** Cost of the time line: a ring buffer of the default and of the smallest size, twice each. */
   TIMELINE {
     @Override
     Flags.Definition definition() {
@@ -161,7 +161,7 @@
           .run("timeline-events", List.of("20000", "64", "20000", "64"));
     }
   },
-  /** The time from a change's acceptance by the platform until it is in force everywhere. */
+  /** Time from the acceptance of a change by the platform until all daemons have applied it. */
   PROPAGATION {
     @Override
     Flags.Definition definition() {
@@ -181,7 +181,7 @@
           .run();
     }
   },
-  /** What daemons ask of the platform in the seconds after it returns from an outage. */
+  /** Rate of calls to the platform after it recovers from an outage. */
   RECOVERY {
     @Override
     Flags.Definition definition() {
@@ -216,7 +216,7 @@
     return text.isBlank() ? List.of() : List.of(text.strip().split(" +", -1));
   }
 
-  /** Returns a line for each flag. */
+  /** Returns the help text, with a line for each flag. */
   public String help() {
     return definition().help();
   }
@@ -225,7 +225,7 @@
    * Measures, prints the result and returns the exit code.
    *
    * @param arguments the flags
-   * @throws UsageException if a flag is wrong
+   * @throws UsageException if a flag is invalid
    * @throws IOException if a process fails
    * @throws InterruptedException if a wait is interrupted
    */
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/OverloadMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/OverloadMeasurement.java
@@ -15,13 +15,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures what is answered in time against the offered load, with admission and without, one after
- * the other at each load.
+ * Measures goodput against the offered load, with and without admission control, one after the
+ * other at each load.
  *
- * <p>Two clusters of two daemons and one engine whose adapters are all loaded, so that its stream
- * places are what is scarce. The capacity is measured first, as the tokens a second at which a
- * burst with a long deadline is worked off. Goodput is counted in tokens too: a policy that
- * answered the short requests only would look better by their number than it is.
+ * <p>Runs two clusters of two daemons and one engine whose adapters are all loaded, so that its
+ * stream slots are the bottleneck. The capacity is determined first, as the rate in tokens per
+ * second at which a burst with a long deadline is processed. Goodput is also counted in tokens,
+ * because a count of requests would favour a policy that answers only short ones.
  */
 final class OverloadMeasurement {
 
@@ -32,9 +32,9 @@
   private static final int BURST_SECONDS = 2;
   private static final int LONG_DEADLINE_MS = 60_000;
   private static final long READY_LIMIT_MS = 30_000;
-  private static final int WARM_UP_TRIES = 20;
-  private static final int EDGE = 10;
-  private static final double AIM = 0.9;
+  private static final int MAX_WARM_UP_ATTEMPTS = 20;
+  private static final int EDGE_DIVISOR = 10;
+  private static final double GOODPUT_TARGET = 0.9;
 
   private final int seconds;
   private final int deadlineMs;
@@ -70,8 +70,8 @@
         last = level(with, "yes", load, capacity);
         level(without, "no", load, capacity);
       }
-      System.out.printf("overload: goodput_at_3x=%.3f aim=%.1f%n", last, AIM);
-      return last >= AIM ? 0 : 1;
+      System.out.printf("overload: goodput_at_3x=%.3f aim=%.1f%n", last, GOODPUT_TARGET);
+      return last >= GOODPUT_TARGET ? 0 : 1;
     }
   }
 
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Waits until every adapter has answered; loads are not what is measured here. */
+  /** Waits until every adapter has answered, so that no load occurs during the measurement. */
   private static void loadAdapters(Cluster cluster) throws IOException, InterruptedException {
     for (int adapter = 0; adapter < ADAPTERS; adapter++) {
       String body =
@@ -106,8 +106,8 @@
               .formatted(ClusterNames.adapter(adapter));
       for (DaemonNode daemon : cluster.daemons()) {
         HttpCall call = HttpCall.to(daemon.callers(), "POST", "/v1/completions").body(body);
-        for (int tries = 0; !cluster.http().send(call).ok(); tries++) {
-          if (tries >= WARM_UP_TRIES) {
+        for (int attempts = 0; !cluster.http().send(call).ok(); attempts++) {
+          if (attempts >= MAX_WARM_UP_ATTEMPTS) {
             throw new IOException("no answer for " + ClusterNames.adapter(adapter));
           }
         }
@@ -122,8 +122,8 @@
             .filter(result -> result.verdict() == Verdict.WHOLE)
             .sorted(Comparator.comparingLong(OverloadMeasurement::endMicros))
             .toList();
-    // Without its first and last part, in which the batch is not full.
-    int first = ended.size() / EDGE;
+    // Excludes the start and end of the burst, where the batch is not full.
+    int first = ended.size() / EDGE_DIVISOR;
     int last = ended.size() - 1 - first;
     long micros = endMicros(ended.get(last)) - endMicros(ended.get(first));
     return tokensOf(ended.subList(first, last)) * 1e6 / micros;
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/PathTimes.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/PathTimes.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** Collects the times of one path; safe for use by several threads. */
+/** Collects the latencies of one path. Safe for use by several threads. */
 final class PathTimes {
 
-  private static final long LONGEST_MICROS = 60_000_000;
+  private static final long MAX_MICROS = 60_000_000;
 
   private static final int MAX_REASONS = 3;
 
   private final String name;
   private final List<String> reasons = new ArrayList<>();
-  private final Histogram histogram = new Histogram(LONGEST_MICROS, 3);
+  private final Histogram histogram = new Histogram(MAX_MICROS, 3);
   private long failed;
   private long ended;
 
@@ -21,10 +21,10 @@
     this.name = name;
   }
 
-  synchronized void answered(long micros, boolean counts) {
+  synchronized void answered(long micros, boolean measured) {
     ended++;
-    if (counts) {
-      histogram.recordValue(Math.max(0, Math.min(LONGEST_MICROS, micros)));
+    if (measured) {
+      histogram.recordValue(Math.max(0, Math.min(MAX_MICROS, micros)));
     }
   }
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/PlatformCalls.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/PlatformCalls.java
@@ -11,12 +11,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Counts calls to the platform by kind, and control bytes of daemons, up to a moment or between
- * two.
+ * Counts of calls to the platform by kind and of the daemons' control bytes, up to a point in time or
+ * between two.
  *
- * @param seconds the time
- * @param calls calls by kind, those of the measurement itself among them
- * @param controlBytes bytes that each daemon sent to peers for control
+ * @param seconds the time on the monotonic clock, or the difference of two times
+ * @param calls number of calls by kind, including those of the measurement itself
+ * @param controlBytes control bytes that each daemon sent to its peers, by daemon
  */
 record PlatformCalls(double seconds, Map<String, Long> calls, Map<String, Long> controlBytes) {
 
@@ -40,17 +40,17 @@
   PlatformCalls since(PlatformCalls before) {
     return new PlatformCalls(
         seconds - before.seconds,
-        less(calls, before.calls),
-        less(controlBytes, before.controlBytes));
+        difference(calls, before.calls),
+        difference(controlBytes, before.controlBytes));
   }
 
-  private static Map<String, Long> less(Map<String, Long> now, Map<String, Long> before) {
-    Map<String, Long> difference = new TreeMap<>();
-    now.forEach((key, value) -> difference.put(key, value - before.getOrDefault(key, 0L)));
-    return difference;
+  private static Map<String, Long> difference(Map<String, Long> now, Map<String, Long> before) {
+    Map<String, Long> differences = new TreeMap<>();
+    now.forEach((key, value) -> differences.put(key, value - before.getOrDefault(key, 0L)));
+    return differences;
   }
 
-  /** Returns rates as cells of a table: by kind, a daemon, a data centre, bytes. */
+  /** Returns rates as table cells: calls by kind, per daemon and per data centre, and bytes. */
   String row() {
     String byKind =
         KINDS.stream()
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/PropagationMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/PropagationMeasurement.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures how long a change takes from the platform's acceptance until it is in force on every
- * daemon, and what the daemons call the platform for meanwhile.
+ * Measures the time from the platform's acceptance of a change until every daemon has applied it,
+ * and the daemons' calls to the platform in the meantime.
  *
- * <p>Each daemon's time line tells when it applied which version of which object; all processes
- * share the machine's wall clock. Watches are cut in the proxy between a daemon and the platform,
- * so its other calls are cut too. Used by one thread.
+ * <p>The time line of a daemon records when it applied a version of an object; all processes share
+ * the machine's wall clock. Watches are cut by the proxy between a daemon and the platform, which
+ * cuts the daemon's other calls too. Not safe for use by several threads.
  */
 final class PropagationMeasurement {
 
@@ -27,8 +27,8 @@
   private static final double QUIET_RATE = 2;
   private static final long READY_LIMIT_MS = 90_000;
 
-  /** A change that is not in force everywhere after this counts as lost. */
-  private static final long IN_FORCE_LIMIT_MS = 10_000;
+  /** Time after which a change that some daemon has not applied counts as lost. */
+  private static final long APPLY_LIMIT_MS = 10_000;
 
   private final int seconds;
   private final int dataCentres;
@@ -59,22 +59,22 @@
               + " | WATCH/s | HOSTS/s | LIST/s | READ/s | PUT/s | a daemon/s | a data centre/s"
               + " | control B/s a daemon | most B/s |");
       System.out.println("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|");
-      boolean whole = phase(cluster, "whole", 0);
-      whole &= phase(cluster, "whole", QUIET_RATE);
-      whole &= phase(cluster, "whole", rate);
+      boolean complete = phase(cluster, "whole", 0);
+      complete &= phase(cluster, "whole", QUIET_RATE);
+      complete &= phase(cluster, "whole", rate);
       List<String> fifth = fifthOfWatchers(cluster);
       cluster.proxies().toPlatform(fifth.get(0)).set(ProxyFault.cut());
       cluster.proxies().toPlatform(fifth.get(fifth.size() - 1)).set(ProxyFault.freeze());
-      whole &= phase(cluster, "a fifth cut", QUIET_RATE);
-      whole &= phase(cluster, "a fifth cut", rate);
+      complete &= phase(cluster, "a fifth cut", QUIET_RATE);
+      complete &= phase(cluster, "a fifth cut", rate);
       watchers(cluster, FIRST_DATA_CENTRE)
           .forEach(daemon -> cluster.proxies().toPlatform(daemon).set(ProxyFault.cut()));
-      whole &= phase(cluster, "all of one data centre cut", QUIET_RATE);
-      return whole ? 0 : 1;
+      complete &= phase(cluster, "all of one data centre cut", QUIET_RATE);
+      return complete ? 0 : 1;
     }
   }
 
-  /** Returns a fifth of the watchers, rounded up, no two of one data centre before all have one. */
+  /** Returns a fifth of the watchers, rounded up, at most one per data centre. */
   private List<String> fifthOfWatchers(Cluster cluster) {
     List<String> first = new ArrayList<>();
     for (int i = 1; i <= dataCentres; i++) {
@@ -108,7 +108,7 @@
     }
     TimeUnit.NANOSECONDS.sleep(Math.max(0, end - System.nanoTime()));
     PlatformCalls calls = PlatformCalls.of(cluster).since(before);
-    PropagationTimes times = changes.await(IN_FORCE_LIMIT_MS);
+    PropagationTimes times = changes.await(APPLY_LIMIT_MS);
     System.out.printf("| %s | %.0f | %s | %s |%n", watches, changesPerSecond, times, calls.row());
     return times.lost() == 0;
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/PropagationTimes.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/PropagationTimes.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Holds how long changes took to be in force everywhere.
+ * Times that changes took to be applied by the daemons.
  *
- * @param millis one time a change and daemon, sorted
- * @param changes how many changes were made
- * @param lost pairs of change and daemon that were not in force within the limit
+ * @param millis a time for each pair of change and daemon, sorted, in milliseconds
+ * @param changes number of changes
+ * @param lost number of pairs for which the change was not applied within the limit
  */
 record PropagationTimes(List<Long> millis, int changes, int lost) {
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/RecoveryMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/RecoveryMeasurement.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures the curve of calls to the platform before, during and after an outage: a flood of them
- * when the platform returns would bring it down again.
+ * Measures the rate of calls to the platform before, during and after an outage. A thundering herd
+ * of calls on recovery would overload the platform again.
  *
- * <p>Used by one thread.
+ * <p>Not safe for use by several threads.
  */
 final class RecoveryMeasurement {
 
@@ -45,19 +45,19 @@
           "| time | WATCH/s | HOSTS/s | LIST/s | READ/s | PUT/s | a daemon/s | a data centre/s"
               + " | control B/s a daemon | most B/s |");
       System.out.println("|---|---|---|---|---|---|---|---|---|---|");
-      slice(cluster, "before", TimeUnit.SECONDS.toMillis(BEFORE_SECONDS));
+      printSlice(cluster, "before", TimeUnit.SECONDS.toMillis(BEFORE_SECONDS));
       cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
-      slice(cluster, "out", TimeUnit.SECONDS.toMillis(outageSeconds));
+      printSlice(cluster, "out", TimeUnit.SECONDS.toMillis(outageSeconds));
       cluster.faults(cluster.platformAddress(), "{}");
       long slices = TimeUnit.SECONDS.toMillis(seconds) / SLICE_MS;
       for (int i = 1; i <= slices; i++) {
-        slice(cluster, "%.1f s after".formatted(i * SLICE_MS / 1_000.0), SLICE_MS);
+        printSlice(cluster, "%.1f s after".formatted(i * SLICE_MS / 1_000.0), SLICE_MS);
       }
       return 0;
     }
   }
 
-  private static void slice(Cluster cluster, String name, long millis)
+  private static void printSlice(Cluster cluster, String name, long millis)
       throws IOException, InterruptedException {
     PlatformCalls before = PlatformCalls.of(cluster);
     TimeUnit.MILLISECONDS.sleep(millis);
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/VariantMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/VariantMeasurement.java
@@ -16,8 +16,8 @@
 /**
  * Measures daemons that differ by one flag under the same seeded load, one after the other.
  *
- * <p>The wait is the sum over all requests of the time to the first token, and of the whole time of
- * those that got none. CPU and memory are the daemons' alone, start-up and warm-up left out of CPU.
+ * <p>The wait is the sum over all requests of the time to the first token, or of the total time if
+ * there was no token. CPU and memory are those of the daemons; CPU excludes start-up and warm-up.
  */
 final class VariantMeasurement {
 
@@ -27,13 +27,13 @@
   private static final double MICROS_PER_MILLI = 1e3;
 
   /**
-   * What the clusters have in common.
+   * Size and load that all variants share.
    *
-   * @param daemons daemons of each
-   * @param engines engines of each
-   * @param slots adapters that an engine holds
-   * @param warmUp the load before measuring
-   * @param load the load that is measured
+   * @param daemons number of daemons
+   * @param engines number of engines
+   * @param slots adapter slots of an engine
+   * @param warmUp load before the measurement
+   * @param load load during the measurement
    */
   record Size(int daemons, int engines, int slots, LoadPlan warmUp, LoadPlan load) {}
 
@@ -43,7 +43,7 @@
     this.size = size;
   }
 
-  /** Measures the flag with each of its values, as often and in the order given. */
+  /** Measures the flag with each of the values, in the given order; values may repeat. */
   int run(String flag, List<String> values) throws IOException, InterruptedException {
     System.out.println(
         "| --"
@@ -61,17 +61,17 @@
               .daemonFlags("--" + flag, value)
               .start()) {
         cluster.awaitServing(READY_LIMIT_MS);
-        play(cluster, size.warmUp());
-        row(cluster, value);
+        runLoad(cluster, size.warmUp());
+        measureRow(cluster, value);
       }
     }
     return 0;
   }
 
-  private void row(Cluster cluster, String value) throws IOException, InterruptedException {
+  private void measureRow(Cluster cluster, String value) throws IOException, InterruptedException {
     Judgement before = Judgement.of(cluster);
     long cpuBefore = cpuMillis(cluster);
-    LoadReport report = play(cluster, size.load());
+    LoadReport report = runLoad(cluster, size.load());
     double cpu = (cpuMillis(cluster) - cpuBefore) / (double) report.sent();
     Judgement after = Judgement.of(cluster);
     Histogram firstTokens = report.firstTokens(result -> true);
@@ -95,7 +95,7 @@
     return result.firstTokenMicros() >= 0 ? result.firstTokenMicros() : result.tookMicros();
   }
 
-  private static LoadReport play(Cluster cluster, LoadPlan plan) throws InterruptedException {
+  private static LoadReport runLoad(Cluster cluster, LoadPlan plan) throws InterruptedException {
     try (LoadTool tool =
         LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())) {
       tool.start(plan.requests());
--- a/testbed/src/test/java/io/sequoiapass/testbed/load/AnswerCheckTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/load/AnswerCheckTest.java
@@ -56,7 +56,7 @@
   class Streams {
 
     @Test
-    void takesItsOwnWholeAnswer() {
+    void acceptsCompleteAnswer() {
       assertThat(
               verdict(
                   2,
@@ -67,13 +67,13 @@
     }
 
     @Test
-    void noticesAnotherVersionsToken() {
+    void rejectsTokenOfAnotherVersion() {
       assertThat(verdict(1, token(0, "a@v1/r~d1.x.1#0 "), end("ANSWERED", "v2", 1)))
           .isEqualTo(Verdict.WRONG);
     }
 
     @Test
-    void noticesAnotherRequestsToken() {
+    void rejectsTokenOfAnotherRequest() {
       assertThat(
               verdict(
                   2,
@@ -83,32 +83,32 @@
           .isEqualTo(Verdict.WRONG);
     }
 
-    // "r2" begins with "r": only the separator after the caller's id tells the two apart.
+    // "r" is a prefix of "r2": only the separator after the caller's id distinguishes the two.
     @Test
-    void noticesARequestWhoseNameBeginsLikeItsOwn() {
+    void rejectsRequestIdWithOwnIdAsPrefix() {
       assertThat(verdict(1, token(0, "a@v2/r2~d1.x.2#0 "), end("ANSWERED", "v2", 1)))
           .isEqualTo(Verdict.WRONG);
     }
 
     @Test
-    void noticesAMissingToken() {
+    void rejectsMissingToken() {
       assertThat(verdict(2, token(1, "a@v2/r~d1.x.1#1 "), end("ANSWERED", "v2", 2)))
           .isEqualTo(Verdict.WRONG);
     }
 
     @Test
-    void noticesAShortAnswerToldAsWhole() {
+    void rejectsTruncatedAnswerReportedAsComplete() {
       assertThat(verdict(2, token(0, "a@v2/r~d1.x.1#0 "), end("ANSWERED", "v2", 1)))
           .isEqualTo(Verdict.WRONG);
     }
 
     @Test
-    void takesAStreamWithoutItsEndAsUnknown() {
+    void reportsStreamWithoutFinalEventAsUnknown() {
       assertThat(verdict(2, token(0, "a@v2/r~d1.x.1#0 "))).isEqualTo(Verdict.UNKNOWN);
     }
 
     @Test
-    void keepsWhatTheCallerWasTold() {
+    void keepsReportedOutcome() {
       assertThat(verdict(2, token(0, "a@v2/r~d1.x.1#0 "), end("UNKNOWN", "v2", 1)))
           .isEqualTo(Verdict.UNKNOWN);
     }
@@ -118,19 +118,19 @@
   class Failures {
 
     @Test
-    void takesAConnectionNeverOpenedAsNotRun() {
+    void reportsFailedConnectAsNotRun() {
       completion(1).failed(new HttpFailure("refused", false));
       assertThat(results.get(0).verdict()).isEqualTo(Verdict.NOT_RUN);
     }
 
     @Test
-    void takesALostConnectionAsUnknown() {
+    void reportsLostConnectionAsUnknown() {
       completion(1).failed(new HttpFailure("reset", true));
       assertThat(results.get(0).verdict()).isEqualTo(Verdict.UNKNOWN);
     }
 
     @Test
-    void takesSilenceAsUnanswered() {
+    void reportsTimeoutAsUnanswered() {
       AnswerCheck check = completion(1);
       micros = WAIT_MS * 1_000;
       check.failed(new HttpFailure("no whole answer in time", true));
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void takesARefusalWithoutAnOutcomeAsWrong() {
+    void reportsErrorWithoutOutcomeAsWrong() {
       AnswerCheck check = completion(1);
       check.started(500, new DefaultHttpHeaders());
       check.ended();
--- a/testbed/src/test/java/io/sequoiapass/testbed/load/FaultsUnderLoadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/load/FaultsUnderLoadTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Callers see refusals and cut streams while parts fail, but nothing wrong: no token of another
- * adapter, no "not run" that ran, no second run of what may run once, no answer that never ends.
+ * Checks that faults under load cause only refusals and broken streams, never a token of another
+ * adapter, a run of a request reported as NOT RUN, a second run of a non-repeatable request, or a
+ * request without a final answer.
  */
 class FaultsUnderLoadTest {
 
@@ -48,18 +49,18 @@
     cluster.close();
   }
 
-  /** Waits until so many requests were sent; the load's own end bounds the wait. */
+  /** Waits until a number of requests have been sent. */
   private void awaitSent(int requests) throws InterruptedException {
-    for (int look = 0; look < LIMIT_MS && tool.sent() < requests; look++) {
+    for (int poll = 0; poll < LIMIT_MS && tool.sent() < requests; poll++) {
       Thread.sleep(1);
     }
     assertThat(tool.sent()).isGreaterThanOrEqualTo(requests);
   }
 
-  private void nothingIsWrong() throws Exception {
-    LoadReport told = tool.await(LIMIT_MS);
+  private void assertNothingWrong() throws Exception {
+    LoadReport received = tool.await(LIMIT_MS);
     Judgement judgement = Judgement.of(cluster);
-    LoadReport report = judgement.apply(told);
+    LoadReport report = judgement.apply(received);
     List<String> reasons = report.reasons(10);
     System.out.printf(
         "faults: sent=%d whole=%d not_run=%d unknown=%d %s%n",
@@ -74,30 +75,30 @@
     assertThat(report.count(Verdict.WHOLE)).isGreaterThan(report.sent() / 2);
   }
 
-  // A daemon is killed with streams in flight, as entry and as owner. Its callers lose their
-  // connections; requests of others that it owned are resumed or told UNKNOWN; a new process of the
-  // same name comes back and knows nothing of them.
+  // A daemon that is both entry and owner is killed with streams in flight. Its callers lose their
+  // connections; requests from other entries that it served are resumed or reported as UNKNOWN; a
+  // new process with the same name starts without state about them.
   @Test
   void daemonKilledAndReplaced() throws Exception {
     DaemonNode daemon = cluster.daemon("d1");
     daemon.process().kill();
     awaitSent(REQUESTS_BEFORE_FAULT + REQUESTS_UNDER_FAULT);
     cluster.restart(daemon);
-    nothingIsWrong();
+    assertNothingWrong();
   }
 
-  // An engine restarts empty between route and send: streams break off, and requests for adapters
-  // that the owner believes resident are refused by it.
+  // An engine restarts without adapters between routing and sending: streams break, and the engine
+  // refuses requests for adapters that the owner assumes to be resident.
   @Test
   void engineRestartsEmpty() throws Exception {
     for (EndpointNode engine : cluster.endpoints(EndpointNode.EndpointKind.ENGINE)) {
       cluster.faults(engine.address(), "{\"restart\":true}");
     }
-    nothingIsWrong();
+    assertNothingWrong();
   }
 
-  // The link from an entry to an owner hangs without closing: requests sent into it have perhaps
-  // started, and their answers never come. After a while it heals and late frames arrive.
+  // The link from an entry to an owner stalls without closing: requests sent over it may have
+  // started, and their answers do not arrive. Later the link recovers and late frames arrive.
   @Test
   void peerLinkFrozenAndHealed() throws Exception {
     cluster.proxies().toPeer("d1", "d2").set(ProxyFault.freeze());
@@ -105,10 +106,11 @@
     awaitSent(REQUESTS_BEFORE_FAULT + REQUESTS_UNDER_FAULT);
     cluster.proxies().toPeer("d1", "d2").set(ProxyFault.none());
     cluster.proxies().toPeer("d3", "d1").set(ProxyFault.none());
-    nothingIsWrong();
+    assertNothingWrong();
   }
 
-  // The platform is out and engines lose answers to requests that they run: the owner cannot know.
+  // The platform is out and answers of endpoints are lost: the owner cannot determine whether a
+  // request ran.
   @Test
   void platformOutAndAnswersLost() throws Exception {
     cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
@@ -118,6 +120,6 @@
     cluster.faults(cluster.endpoint("e1").address(), "{}");
     cluster.faults(cluster.endpoint("s1").address(), "{}");
     cluster.faults(cluster.platformAddress(), "{}");
-    nothingIsWrong();
+    assertNothingWrong();
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/load/LoadPlanTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/load/LoadPlanTest.java
@@ -14,13 +14,13 @@
   }
 
   @Test
-  void isTheSameForTheSameSeed() {
+  void isDeterministicForASeed() {
     assertThat(plan(1).requests()).isEqualTo(plan(1).requests());
     assertThat(plan(2).requests()).isNotEqualTo(plan(1).requests());
   }
 
   @Test
-  void keepsRateAndSkew() {
+  void matchesRateAndSkew() {
     List<PlannedRequest> requests = plan(1).requests();
     long first = requests.stream().filter(r -> r.adapter().equals(adapter(0))).count();
     long second = requests.stream().filter(r -> r.adapter().equals(adapter(1))).count();
