--- a/testbed/src/main/java/io/sequoiapass/testbed/capacity/CapacityRun.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/capacity/CapacityRun.java
@@ -6,13 +6,13 @@
 import java.util.Locale;
 
 /**
- * Measures every probe at each of its sizes and prints the line through them.
+ * Runs every probe at each of its sizes and prints a linear fit of the results.
  *
  * <pre>{@code
  * CapacityRun.run(System.out);
  * }</pre>
  *
- * <p>Stateless; figures are of this machine and of one process.
+ * <p>Stateless. Results apply to this machine and to a single process.
  */
 public final class CapacityRun {
 
@@ -23,7 +23,7 @@
   /**
    * Runs all probes.
    *
-   * @param out where the table goes
+   * @param out receives the table
    */
   public static void run(PrintStream out) {
     out.println("| what | by | measured | for each | at the letter's size | worst residual |");
@@ -45,7 +45,7 @@
     return String.format(
         Locale.ROOT,
         "| %s | %s | %s | %s | %s (at %d) | %.0f %% |",
-        probe.what(),
+        probe.description(),
         probe.unit(),
         String.join(", ", measured),
         number(slope.perUnit()),
--- a/testbed/src/main/java/io/sequoiapass/testbed/capacity/Fleet.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/capacity/Fleet.java
@@ -19,7 +19,7 @@
 import java.util.OptionalInt;
 import java.util.Set;
 
-/** Makes adapters, endpoints and daemons with names as long as an operator's. */
+/** Creates adapters, endpoints and daemons with names of a realistic length. */
 final class Fleet {
 
   static final int DAEMONS_OF_A_CENTRE = 17;
--- a/testbed/src/main/java/io/sequoiapass/testbed/capacity/Gauge.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/capacity/MicroBenchmark.java
@@ -7,26 +7,26 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Measures time and memory of small pieces of code in this process. */
-final class Gauge {
+/** Micro-benchmarks of time and memory in this process. */
+final class MicroBenchmark {
 
-  /** What carries a frame on the wire: 4 bytes of length, TCP with time stamps, IP. */
-  static final int PACKET_BYTES = 4 + 32 + 20;
+  /** Overhead of a frame: 4 bytes of length, TCP header with time stamps, IP header. */
+  static final int FRAME_OVERHEAD_BYTES = 4 + 32 + 20;
 
   private static final int WARM_UP_CALLS = 3_000;
   private static final int ROUNDS = 9;
-  private static final long ROUND_NANOS = 60_000_000;
+  private static final long MIN_ROUND_NANOS = 60_000_000;
   private static final int COPIES = 4;
   private static final double BYTES_PER_MEGABYTE = 1 << 20;
   private static final double NANOS_PER_MICRO = 1_000;
 
-  /** Keeps results alive so that the compiler cannot leave their work out. */
+  /** Keeps results reachable, which prevents dead-code elimination by the compiler. */
   @SuppressWarnings("UnusedVariable")
   private static volatile Object sink;
 
-  private Gauge() {}
+  private MicroBenchmark() {}
 
-  /** Counts on; not safe for use by several threads. */
+  /** A counter. Not safe for use by several threads. */
   static final class Counter {
     private long value;
 
@@ -40,44 +40,44 @@
     }
   }
 
-  /** Returns the median time of a call over several rounds, in microseconds. */
+  /** Returns the median over several rounds of the mean time of a call, in microseconds. */
   static double microsOf(Supplier<Object> call) {
     for (int i = 0; i < WARM_UP_CALLS; i++) {
       sink = call.get();
     }
     List<Double> rounds = new ArrayList<>();
     for (int i = 0; i < ROUNDS; i++) {
-      rounds.add(round(call));
+      rounds.add(measureRound(call));
     }
     rounds.sort(null);
     return rounds.get(ROUNDS / 2);
   }
 
-  private static double round(Supplier<Object> call) {
-    long begun = System.nanoTime();
+  private static double measureRound(Supplier<Object> call) {
+    long startNanos = System.nanoTime();
     long calls = 0;
     long elapsed;
     do {
       sink = call.get();
       calls++;
-      elapsed = System.nanoTime() - begun;
-    } while (elapsed < ROUND_NANOS);
+      elapsed = System.nanoTime() - startNanos;
+    } while (elapsed < MIN_ROUND_NANOS);
     return elapsed / NANOS_PER_MICRO / calls;
   }
 
-  /** Returns the heap that one result of a call keeps, in megabytes, as the mean of several. */
+  /** Returns the mean heap size that a result of a call retains, in megabytes. */
   static double megabytesOf(Supplier<Object> make) {
     List<Object> kept = new ArrayList<>();
-    long before = used();
+    long before = usedBytes();
     for (int i = 0; i < COPIES; i++) {
       kept.add(make.get());
     }
-    long after = used();
+    long after = usedBytes();
     sink = kept;
     return (after - before) / BYTES_PER_MEGABYTE / kept.size();
   }
 
-  private static long used() {
+  private static long usedBytes() {
     Runtime runtime = Runtime.getRuntime();
     System.gc();
     System.gc();
@@ -88,7 +88,7 @@
     try {
       return PeerFrames.decode(frame);
     } catch (PeerFrameException e) {
-      throw new IllegalStateException("a frame of our own", e);
+      throw new IllegalStateException("cannot decode a frame that this process encoded", e);
     }
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/capacity/OwnershipRound.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/capacity/OwnershipRound.java
@@ -17,14 +17,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Is one daemon that decides on ownership in each control round while all is well. */
+/** Benchmark of the ownership decisions of one daemon per control round, without failures. */
 final class OwnershipRound {
 
-  /** Rounds a second, so that what is done once a second takes its share. */
-  private static final int ROUNDS = 20;
+  /** Rounds per second, so that work done once per second is included in proportion. */
+  private static final int ROUNDS_PER_SECOND = 20;
 
-  /** Until every endpoint has an owner and balance has nothing left to move. */
-  private static final int SETTLING_SECONDS = 120;
+  /** Time until every endpoint has an owner and no endpoint is left to rebalance. */
+  private static final int CONVERGENCE_SECONDS = 120;
 
   private static final long INCARNATION = 1_796_246_933_064L;
   private static final long SEED = 5;
@@ -54,27 +54,30 @@
     planner.setEndpoints(all);
   }
 
-  /** Returns the time of a round, in microseconds, at so many endpoints of the data centre. */
+  /** Returns the time of a round, in microseconds, for a number of endpoints. */
   static double micros(int endpoints) {
     OwnershipRound owner = new OwnershipRound(endpoints);
-    for (int i = 0; i < SETTLING_SECONDS * ROUNDS; i++) {
+    for (int i = 0; i < CONVERGENCE_SECONDS * ROUNDS_PER_SECOND; i++) {
       owner.round();
     }
-    return Gauge.microsOf(owner::round);
+    return MicroBenchmark.microsOf(owner::round);
   }
 
   private OwnershipTable round() {
     rounds++;
-    long now = rounds * 1_000 / ROUNDS;
+    long now = rounds * 1_000 / ROUNDS_PER_SECOND;
     contact.succeeded(now);
     daemons.forEach(daemon -> observer.leaseVersionReceived(now, daemon, rounds));
     planner.setCandidates(now, INCARNATION, candidates);
     planner.leasesToCheck(now);
-    planner.takeOver(now).or(() -> planner.rebalance(now)).ifPresent(write -> stored(now, write));
+    planner
+        .takeOver(now)
+        .or(() -> planner.rebalance(now))
+        .ifPresent(write -> confirmWrite(now, write));
     return planner.table();
   }
 
-  private void stored(long now, OwnershipProposal write) {
+  private void confirmWrite(long now, OwnershipProposal write) {
     version++;
     planner.writeAnswered(now, write.operation(), new WriteAnswer.Stored(version));
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/capacity/Probe.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/capacity/Probe.java
@@ -39,50 +39,52 @@
 import java.util.Set;
 
 /**
- * Lists what is measured, each over sizes that double and with the size that the letter asks for.
+ * Benchmarks, each with a series of sizes and the target size of the requirements.
  *
- * <p>Each measurement makes its own state; none is safe for use by several threads.
+ * <p>Each measurement creates its own state. Not safe for use by several threads.
  */
 enum Probe {
-  /** Memory of the configuration. */
+  /** Memory that the configuration occupies. */
   CONFIGURATION_MEMORY(
       "configuration held, MB", "adapters", List.of(3_375, 6_750, 13_500, 27_000), 27_000) {
     @Override
     double measure(int size) {
-      return Gauge.megabytesOf(() -> store(Fleet.adapters(size)));
+      return MicroBenchmark.megabytesOf(() -> store(Fleet.adapters(size)));
     }
   },
-  /** Time of one change. */
+  /** Time to apply one change. */
   CONFIGURATION_CHANGE(
       "applying one change, us", "adapters", List.of(3_375, 6_750, 13_500, 27_000), 27_000) {
     @Override
     double measure(int size) {
       ConfigurationStore store = store(Fleet.adapters(size));
       List<ConfigurationObject> changes = Fleet.adapters(size);
-      Gauge.Counter version = new Gauge.Counter(size);
-      return Gauge.microsOf(
-          () -> store.apply(0, List.of(newer(changes.get(version.next() % size), version))));
+      MicroBenchmark.Counter version = new MicroBenchmark.Counter(size);
+      return MicroBenchmark.microsOf(
+          () ->
+              store.apply(
+                  0, List.of(withNextVersion(changes.get(version.next() % size), version))));
     }
   },
-  /** Bytes of one change on the wire. */
+  /** Size of a pushed batch of changes on the wire. */
   CHANGE_BYTES("pushing one batch of changes, B", "changes", List.of(1, 2, 4, 8, 16), 1) {
     @Override
     double measure(int size) {
       List<String> texts = Fleet.adapters(size).stream().map(ObjectCodec::text).toList();
       return PeerFrames.encode(new PeerMessage.ObjectsPush(texts, false, true, List.of())).length
-          + Gauge.PACKET_BYTES;
+          + MicroBenchmark.FRAME_OVERHEAD_BYTES;
     }
   },
-  /** Bytes of heartbeats. */
+  /** Bytes per second of heartbeats to all neighbours. */
   HEARTBEAT_BYTES(
       "heartbeats to neighbours, B/s at one a second", "neighbours", List.of(3, 7, 16, 33), 16) {
     @Override
     double measure(int size) {
-      int frame = PeerFrames.encode(heartbeat()).length + Gauge.PACKET_BYTES;
+      int frame = PeerFrames.encode(heartbeat()).length + MicroBenchmark.FRAME_OVERHEAD_BYTES;
       return (double) frame * size;
     }
   },
-  /** Time of hearing one round of heartbeats. */
+  /** Time to process one round of received heartbeats. */
   HEARTBEAT_TIME("hearing a round of heartbeats, us", "neighbours", List.of(4, 8, 17, 34), 17) {
     @Override
     double measure(int size) {
@@ -91,12 +93,12 @@
       PlatformConnectivity contact = PlatformConnectivity.create(LeaseSettings.DEFAULT, 0);
       LeaseObserver observer = LeaseObserver.create(LeaseSettings.DEFAULT, contact);
       byte[] frame = PeerFrames.encode(heartbeat());
-      Gauge.Counter now = new Gauge.Counter(0);
-      return Gauge.microsOf(
+      MicroBenchmark.Counter now = new MicroBenchmark.Counter(0);
+      return MicroBenchmark.microsOf(
           () -> {
             long time = now.next();
             for (DaemonId daemon : daemons) {
-              PeerMessage.Heartbeat beat = (PeerMessage.Heartbeat) Gauge.decode(frame);
+              PeerMessage.Heartbeat beat = (PeerMessage.Heartbeat) MicroBenchmark.decode(frame);
               membership.heartbeatReceived(time, daemon, 1, MemberState.ALIVE);
               observer.leaseVersionReceived(time, daemon, beat.platform().leaseVersion());
             }
@@ -104,29 +106,29 @@
           });
     }
   },
-  /** Bytes of an ownership table. */
+  /** Size of an ownership table on the wire. */
   TABLE_BYTES("one ownership table, B", "endpoints", List.of(65, 130, 260, 520), 520) {
     @Override
     double measure(int size) {
       PeerMessage push = new PeerMessage.TablePush(Fleet.DATA_CENTRE, table(size));
-      return PeerFrames.encode(push).length + Gauge.PACKET_BYTES;
+      return PeerFrames.encode(push).length + MicroBenchmark.FRAME_OVERHEAD_BYTES;
     }
   },
-  /** Bytes of the change by which four endpoints move to another owner. */
+  /** Size of the ownership delta when four endpoints move to other owners. */
   MOVE_BYTES("delta of four moved endpoints, B", "endpoints", List.of(65, 130, 260, 520), 520) {
     @Override
     double measure(int size) {
       return deltaBytes(size, 4);
     }
   },
-  /** Bytes of the change by which the others take over what one daemon of 17 owned. */
+  /** Size of the ownership delta when the peers take over all endpoints of one of 17 daemons. */
   TAKEOVER_BYTES("delta of a takeover, B", "endpoints", List.of(65, 130, 260, 520), 520) {
     @Override
     double measure(int size) {
       return deltaBytes(size, size / Fleet.DAEMONS_OF_A_CENTRE);
     }
   },
-  /** Time of one round of an owner that has nothing to change. */
+  /** Time of one round of ownership decisions without changes. */
   OWNERSHIP_ROUND(
       "a round of ownership decisions, us", "endpoints", List.of(65, 130, 260, 520), 520) {
     @Override
@@ -134,7 +136,7 @@
       return OwnershipRound.micros(size);
     }
   },
-  /** Time of routing one request. */
+  /** Time to route one request. */
   ROUTING("routing one request, us", "endpoints", List.of(250, 500, 1_000, 2_000), 2_000) {
     @Override
     double measure(int size) {
@@ -144,9 +146,9 @@
               MillisClock.monotonic(),
               PlacementWeights.STALLS,
               endpoint -> Optional.of(Fleet.daemons(1).get(0)),
-              daemon -> Optional.of(new SilentChannel()));
-      Gauge.Counter number = new Gauge.Counter(0);
-      return Gauge.microsOf(
+              daemon -> Optional.of(new DiscardingChannel()));
+      MicroBenchmark.Counter number = new MicroBenchmark.Counter(0);
+      return MicroBenchmark.microsOf(
           () ->
               routes.find(
                   new RouteTarget.Engine(
@@ -156,13 +158,13 @@
                   Set.of()));
     }
   },
-  /** Time of placing one request. */
+  /** Time to place and finish one request. */
   PLACEMENT("placing and ending one request, us", "endpoints owned", List.of(4, 8, 16, 32), 30) {
     @Override
     double measure(int size) {
       AdaptivePlacement placement = placement(size);
-      Gauge.Counter number = new Gauge.Counter(0);
-      return Gauge.microsOf(
+      MicroBenchmark.Counter number = new MicroBenchmark.Counter(0);
+      return MicroBenchmark.microsOf(
           () -> {
             int next = (int) number.next();
             RequestId id = new RequestId("request-" + next);
@@ -172,17 +174,17 @@
     }
   };
 
-  private final String what;
+  private final String description;
   private final String unit;
 
-  // Made by List.of, so it never changes.
+  // Created by List.copyOf, so it is immutable.
   @SuppressWarnings("ImmutableEnumChecker")
   private final List<Integer> sizes;
 
   private final int target;
 
-  Probe(String what, String unit, List<Integer> sizes, int target) {
-    this.what = what;
+  Probe(String description, String unit, List<Integer> sizes, int target) {
+    this.description = description;
     this.unit = unit;
     this.sizes = List.copyOf(sizes);
     this.target = target;
@@ -191,11 +193,11 @@
   /** Returns the value at a size. */
   abstract double measure(int size);
 
-  String what() {
-    return what;
+  String description() {
+    return description;
   }
 
-  /** Returns what the sizes count. */
+  /** Returns the unit of the sizes. */
   String unit() {
     return unit;
   }
@@ -204,7 +206,7 @@
     return sizes;
   }
 
-  /** Returns the size that the letter asks for. */
+  /** Returns the target size of the requirements. */
   int target() {
     return target;
   }
@@ -216,7 +218,8 @@
     return store;
   }
 
-  private static ConfigurationObject newer(ConfigurationObject object, Gauge.Counter version) {
+  private static ConfigurationObject withNextVersion(
+      ConfigurationObject object, MicroBenchmark.Counter version) {
     ConfigurationObject.AdapterRecord adapter = (ConfigurationObject.AdapterRecord) object;
     return new ConfigurationObject.AdapterRecord(
         adapter.id(), version.next(), adapter.model(), adapter.current(), adapter.versions());
@@ -240,7 +243,9 @@
     return OwnershipTable.of(1_234_567, 99, owners, incarnations);
   }
 
-  /** Returns the frame of the change by which others get the first endpoints of one daemon. */
+  /**
+   * Returns the frame size of a delta that moves the first endpoints of one daemon to its peers.
+   */
   private static int deltaBytes(int endpoints, int moved) {
     OwnershipTable base = table(endpoints);
     List<DaemonId> daemons = Fleet.daemons(Fleet.DAEMONS_OF_A_CENTRE);
@@ -253,7 +258,7 @@
         OwnershipTable.of(base.version() + 1, base.epoch() + 1, owners, base.incarnations());
     PeerMessage push =
         new PeerMessage.TableDelta(Fleet.DATA_CENTRE, OwnershipDelta.between(base, next));
-    return PeerFrames.encode(push).length + Gauge.PACKET_BYTES;
+    return PeerFrames.encode(push).length + MicroBenchmark.FRAME_OVERHEAD_BYTES;
   }
 
   private static AdaptivePlacement placement(int endpoints) {
@@ -283,8 +288,8 @@
         Fleet.endpoint(endpoint));
   }
 
-  /** Takes messages and does nothing with them. */
-  private static final class SilentChannel implements PeerChannel {
+  /** Discards messages. */
+  private static final class DiscardingChannel implements PeerChannel {
     @Override
     public boolean send(PeerMessage message) {
       return true;
@@ -297,7 +302,7 @@
 
     @Override
     public void close() {
-      // Nothing is open.
+      // Holds no resources.
     }
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/capacity/Slope.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/capacity/Slope.java
@@ -4,7 +4,7 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * Fits a line through the values measured at several sizes.
+ * Least-squares line through the values measured at several sizes.
  *
  * <pre>{@code
  * Slope slope = Slope.fit(points);
@@ -16,9 +16,9 @@
 public final class Slope {
 
   /**
-   * Is one measured value.
+   * A measured value.
    *
-   * @param size the size at which it was measured
+   * @param size the size at which the value was measured
    * @param value the value
    */
   public record Point(double size, double value) {}
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Returns the least-squares line.
+   * Fits a line.
    *
    * @param points at least two points of different size
    */
@@ -49,13 +49,13 @@
     return new Slope(regression.getSlope(), regression.getIntercept(), worst);
   }
 
-  /** Returns the growth for each unit of size. */
+  /** Returns the growth per unit of size. */
   public double perUnit() {
     return slope;
   }
 
   /**
-   * Returns the value that the line gives at a size.
+   * Returns the value of the line at a size.
    *
    * @param size the size
    */
@@ -63,7 +63,7 @@
     return intercept + slope * size;
   }
 
-  /** Returns the largest distance of a point from the line, as a share of the point's value. */
+  /** Returns the largest absolute residual of a point, relative to the point's value. */
   public double worstResidual() {
     return worstResidual;
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/capacity/package-info.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** Measures how state, time and bytes grow with the size of the fleet. */
+/** Benchmarks of the growth of memory, time and traffic with the size of the fleet. */
 package io.sequoiapass.testbed.capacity;
--- a/testbed/src/main/java/io/sequoiapass/testbed/cli/Addresses.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/cli/Addresses.java
@@ -3,7 +3,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Makes and reads addresses; everything of the testbed listens on the loopback interface. */
+/** Creates and parses addresses; all parts of the testbed listen on the loopback interface. */
 public final class Addresses {
 
   private Addresses() {}
@@ -18,11 +18,11 @@
   }
 
   /**
-   * Reads an address.
+   * Parses an address.
    *
-   * @param flag the flag that the text stands in, for the message
-   * @param text host and port joined by a colon
-   * @throws UsageException if the text is no address
+   * @param flag name of the flag that contains the text, for the error message
+   * @param text host and port, separated by a colon
+   * @throws UsageException if the text is not an address
    */
   public static InetSocketAddress parse(String flag, String text) throws UsageException {
     int colon = text.lastIndexOf(':');
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Returns an address as flags take it.
+   * Formats an address for use in a flag.
    *
    * @param address the address
    */
--- a/testbed/src/main/java/io/sequoiapass/testbed/cli/Flags.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/cli/Flags.java
@@ -11,7 +11,7 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * Reads the flags of one command, each with a default.
+ * Parsed flags of a command, each with a default value.
  *
  * <pre>{@code
  * Flags flags = Flags.define()
@@ -47,12 +47,12 @@
   }
 
   /**
-   * Returns a flag's value as a whole number.
+   * Returns a flag's value as an integer.
    *
    * @param name the flag's name
    * @param min the smallest value allowed
    * @param max the largest value allowed
-   * @throws UsageException if the value is no number or out of range
+   * @throws UsageException if the value is not a number or is out of range
    */
   public int integer(String name, int min, int max) throws UsageException {
     double value = decimal(name, min, max);
@@ -63,12 +63,12 @@
   }
 
   /**
-   * Returns a flag's value as whole numbers between commas.
+   * Returns a flag's value as a list of integers that are separated by commas.
    *
    * @param name the flag's name
    * @param min the smallest value allowed
    * @param max the largest value allowed
-   * @throws UsageException if one is no whole number or out of range
+   * @throws UsageException if a value is not an integer or is out of range
    */
   public List<Integer> integers(String name, int min, int max) throws UsageException {
     List<Integer> values = new ArrayList<>();
@@ -90,7 +90,7 @@
    * @param name the flag's name
    * @param min the smallest value allowed
    * @param max the largest value allowed
-   * @throws UsageException if the value is no number or out of range
+   * @throws UsageException if the value is not a number or is out of range
    */
   public double decimal(String name, double min, double max) throws UsageException {
     String text = text(name);
@@ -120,7 +120,7 @@
     return text.equals("true");
   }
 
-  /** Collects the flags that a command takes; not safe for use by several threads. */
+  /** Definition of the flags of a command. Not safe for use by several threads. */
   public static final class Definition {
 
     private final Options options = new Options();
@@ -132,8 +132,8 @@
      * Adds a flag with one value.
      *
      * @param name the flag's name, without dashes
-     * @param fallback its value where it is not given
-     * @param description what it sets
+     * @param fallback default value
+     * @param description text for the help
      */
     public Definition flag(String name, String fallback, String description) {
       options.addOption(Option.builder().longOpt(name).hasArg().desc(description).get());
@@ -142,10 +142,11 @@
     }
 
     /**
-     * Reads the arguments.
+     * Parses the arguments.
      *
      * @param arguments the command's arguments
-     * @throws UsageException if a flag is unknown, lacks its value or stands beside other words
+     * @throws UsageException if a flag is unknown or lacks its value, or if there are other
+     *     arguments
      */
     public Flags parse(String... arguments) throws UsageException {
       CommandLine line;
@@ -155,12 +156,12 @@
         throw new UsageException(e.getMessage() + "\n" + help());
       }
       if (!line.getArgList().isEmpty()) {
-        throw new UsageException("unexpected words: " + line.getArgList() + "\n" + help());
+        throw new UsageException("unexpected arguments: " + line.getArgList() + "\n" + help());
       }
       return new Flags(line, Map.copyOf(defaults));
     }
 
-    /** Returns a line for each flag. */
+    /** Returns the help text, with a line for each flag. */
     public String help() {
       StringBuilder help = new StringBuilder();
       for (Map.Entry<String, String> flag : defaults.entrySet()) {
--- a/testbed/src/main/java/io/sequoiapass/testbed/cli/UsageException.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/cli/UsageException.java
@@ -1,14 +1,14 @@
 package io.sequoiapass.testbed.cli;
 
-/** Tells that a command was started with wrong flags. */
+/** Thrown if a command is started with invalid flags. */
 public final class UsageException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes an exception.
+   * Creates an exception.
    *
-   * @param message what is wrong and what is allowed
+   * @param message description of the error and of the allowed values
    */
   public UsageException(String message) {
     super(message);
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/LoadTool.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/LoadTool.java
@@ -26,8 +26,8 @@
  * }
  * }</pre>
  *
- * <p>Requests are distributed over the daemons round-robin, like by a load balancer. Safe for use by
- * several threads; an instance runs one load.
+ * <p>Requests are distributed over the daemons round-robin, like by a load balancer. Safe for use
+ * by several threads; an instance runs one load.
  */
 public final class LoadTool implements AutoCloseable {
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/RequestResult.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/RequestResult.java
@@ -7,8 +7,8 @@
  *
  * @param request the request
  * @param verdict class of the result
- * @param firstTokenMicros time to the first token, or to the complete answer of a plain service,
- *     in microseconds; -1 if there was none
+ * @param firstTokenMicros time to the first token, or to the complete answer of a plain service, in
+ *     microseconds; -1 if there was none
  * @param tookMicros time to the end, in microseconds
  * @param detail why the answer is not complete, or the empty string
  */
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/ControlSample.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/ControlSample.java
@@ -32,7 +32,9 @@
     long frames,
     Map<String, Long> calls) {
 
-  /** Size of IPv4 and TCP headers with time stamps; a control frame is sent in a packet of its own. */
+  /**
+   * Size of IPv4 and TCP headers with time stamps; a control frame is sent in a packet of its own.
+   */
   private static final int PACKET_HEADER_BYTES = 52;
 
   static ControlSample of(Cluster cluster) throws IOException, InterruptedException {
@@ -73,7 +75,9 @@
     return calls;
   }
 
-  /** Returns the usage per daemon: rates since an earlier sample, and current memory and threads. */
+  /**
+   * Returns the usage per daemon: rates since an earlier sample, and current memory and threads.
+   */
   Usage since(ControlSample before) {
     double perDaemon = (atSeconds - before.atSeconds) * daemons;
     Map<String, Double> byKind = new TreeMap<>();
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/DaemonMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/DaemonMeasurement.java
@@ -128,7 +128,8 @@
     return complete.stream().mapToInt(result -> result.request().maxTokens()).average().orElse(0);
   }
 
-  private static void printRow(String name, Sample used, double requests, double tokens, long incomplete) {
+  private static void printRow(
+      String name, Sample used, double requests, double tokens, long incomplete) {
     System.out.printf(
         "| %s | %.0f | %.0f | %.1f | %.0f | %.0f | %.0f | %.0f | %.1f | %d |%n",
         name,
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultKind.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultKind.java
@@ -51,7 +51,9 @@
       setPeerFault(cluster, target, ProxyFault.none());
     }
   },
-  /** Data from the initiator of a connection between the daemon and a peer stalls; it stays open. */
+  /**
+   * Data from the initiator of a connection between the daemon and a peer stalls; it stays open.
+   */
   HANG_PEERS(false) {
     @Override
     void begin(Cluster cluster, int target) {
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultSchedule.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultSchedule.java
@@ -75,7 +75,10 @@
     FaultKind kind = kinds.get(random.nextInt(kinds.size()));
     int target = random.nextInt(cluster.daemons().size());
     return new Planned(
-        kind, target, atMs, atMs + MIN_DURATION_MS + random.nextInt(MAX_DURATION_MS - MIN_DURATION_MS));
+        kind,
+        target,
+        atMs,
+        atMs + MIN_DURATION_MS + random.nextInt(MAX_DURATION_MS - MIN_DURATION_MS));
   }
 
   /** Selects the daemon for a request: round-robin over the daemons that are not down. */
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultsMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultsMeasurement.java
@@ -60,7 +60,8 @@
             .leases(3_000, 500, 500)
             .start()) {
       cluster.awaitServing(READY_LIMIT_MS);
-      FaultSchedule faults = new FaultSchedule(cluster, kinds, seconds - FAULT_FREE_END_SECONDS, seed);
+      FaultSchedule faults =
+          new FaultSchedule(cluster, kinds, seconds - FAULT_FREE_END_SECONDS, seed);
       try (LoadTool tool = LoadTool.through(faults::pick)) {
         List<PlannedRequest> requests = requests();
         long start = System.nanoTime();
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/LatencyMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/LatencyMeasurement.java
@@ -22,9 +22,9 @@
  * Measures the time to the first token on three paths side by side: to the engine directly, through
  * the engine's owner, and through another daemon and the owner.
  *
- * <p>All three paths lead to one engine at the same rate in the same run, so that the engine's steps
- * and load and other work on the machine affect all of them equally. Adapters are loaded before the
- * measurement.
+ * <p>All three paths lead to one engine at the same rate in the same run, so that the engine's
+ * steps and load and other work on the machine affect all of them equally. Adapters are loaded
+ * before the measurement.
  */
 final class LatencyMeasurement {
 
@@ -64,7 +64,9 @@
     }
   }
 
-  /** Returns the daemon that forwards its requests, detected from the bytes it sends to its peer. */
+  /**
+   * Returns the daemon that forwards its requests, detected from the bytes it sends to its peer.
+   */
   private static DaemonNode findForwarder(Cluster cluster)
       throws IOException, InterruptedException {
     DaemonNode first = cluster.daemons().get(0);
@@ -131,7 +133,8 @@
 
   private void awaitAll(long planned, List<PathTimes> paths)
       throws IOException, InterruptedException {
-    long polls = (TimeUnit.SECONDS.toMillis(WARM_UP_SECONDS + seconds) + TIMEOUT_MS) / POLL_INTERVAL_MS;
+    long polls =
+        (TimeUnit.SECONDS.toMillis(WARM_UP_SECONDS + seconds) + TIMEOUT_MS) / POLL_INTERVAL_MS;
     while (paths.stream().mapToLong(PathTimes::endedCount).sum() < planned) {
       polls--;
       if (polls < 0) {
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/PlatformCalls.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/PlatformCalls.java
@@ -11,8 +11,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Counts of calls to the platform by kind and of the daemons' control bytes, up to a point in time or
- * between two.
+ * Counts of calls to the platform by kind and of the daemons' control bytes, up to a point in time
+ * or between two.
  *
  * @param seconds the time on the monotonic clock, or the difference of two times
  * @param calls number of calls by kind, including those of the measurement itself
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/AdaptivePolicy.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/AdaptivePolicy.java
@@ -14,15 +14,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The daemon's own decisions; entries see the owners' counts late. */
+/** The daemon's router and placement; entries route by hints that are updated with a delay. */
 final class AdaptivePolicy implements Policy {
 
-  /** How old the hints are that an entry routes by, at most. */
-  private static final double HINT_MS = 250;
+  /** Interval at which entries receive the owners' hints. */
+  private static final double HINT_INTERVAL_MS = 250;
 
-  private static final long REPORT_MS = 50;
+  private static final long REPORT_INTERVAL_MS = 50;
 
-  /** Three half-lives of demand. */
+  /** Time for which an adapter stays hot: three half-lives of demand. */
   private static final long HOT_MS = 450_000;
 
   private static final long MAX_HINT_AGE_MS = 2_000;
@@ -31,14 +31,14 @@
   private final List<AdaptivePlacement> placements = new ArrayList<>();
   private final HotAdapters hot = new HotAdapters(HOT_MS);
   private final Map<EndpointId, EndpointLoad> hints = new HashMap<>();
-  private long reportsAtMs;
-  private double hintsAtMs = Double.NEGATIVE_INFINITY;
+  private long lastReportMs;
+  private double lastHintsMs = Double.NEGATIVE_INFINITY;
 
-  AdaptivePolicy(Shape shape) {
+  AdaptivePolicy(SimulationConfig config) {
     PlacementWeights weights =
-        shape.user() == User.YARDS ? PlacementWeights.STALLS : PlacementWeights.BATCHES;
+        config.user() == User.YARDS ? PlacementWeights.STALLS : PlacementWeights.BATCHES;
     router = new Router(MAX_HINT_AGE_MS, weights.denseShare());
-    for (int i = 0; i < shape.owners(); i++) {
+    for (int i = 0; i < config.owners(); i++) {
       placements.add(new AdaptivePlacement(PlacementSettings.defaults(), weights));
     }
   }
@@ -48,38 +48,38 @@
     return placements.get(owner);
   }
 
-  /** Each owner learns, late, how many loads the others have under way. */
+  /** Sends each owner, with a delay, the number of loads in progress at the others. */
   @Override
   public void tick(long nowMs) {
-    if (nowMs < reportsAtMs + REPORT_MS) {
+    if (nowMs < lastReportMs + REPORT_INTERVAL_MS) {
       return;
     }
-    reportsAtMs = nowMs;
-    int sum = placements.stream().mapToInt(AdaptivePlacement::loadsInProgress).sum();
-    placements.forEach(p -> p.recordOtherLoads(nowMs, sum - p.loadsInProgress()));
+    lastReportMs = nowMs;
+    int sum = placements.stream().mapToInt(AdaptivePlacement::loadsUnderWay).sum();
+    placements.forEach(p -> p.otherLoads(nowMs, sum - p.loadsUnderWay()));
   }
 
   @Override
   public EndpointId route(double nowMs, Workload.Arrival arrival, List<Engine> engines) {
-    if (nowMs - hintsAtMs >= HINT_MS) {
-      hintsAtMs = nowMs;
+    if (nowMs - lastHintsMs >= HINT_INTERVAL_MS) {
+      lastHintsMs = nowMs;
       for (AdaptivePlacement placement : placements) {
-        placement.loads().forEach(load -> learn((long) nowMs, load));
+        placement.loads().forEach(load -> recordHint((long) nowMs, load));
       }
     }
     List<Router.Candidate> candidates = new ArrayList<>();
     for (Engine engine : engines) {
       if (engine.model.equals(arrival.model())) {
         Optional<EndpointLoad> hint = Optional.ofNullable(hints.get(engine.id));
-        candidates.add(new Router.Candidate(engine.id, 1, hint, (long) (nowMs - hintsAtMs)));
+        candidates.add(new Router.Candidate(engine.id, 1, hint, (long) (nowMs - lastHintsMs)));
       }
     }
     boolean isHot = hot.contains((long) nowMs, arrival.adapter());
     return router.rank(arrival.adapter(), 1, isHot, candidates).get(0);
   }
 
-  private void learn(long nowMs, EndpointLoad load) {
+  private void recordHint(long nowMs, EndpointLoad load) {
     hints.put(load.endpoint(), load);
-    hot.update(nowMs, load);
+    hot.learn(nowMs, load);
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Baseline.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Baseline.java
@@ -18,13 +18,13 @@
 import java.util.Optional;
 
 /**
- * A plain placement to compare with: loads what is missing at once and evicts the idle adapter that
- * its rule likes least.
+ * A simple placement for comparison: loads a missing adapter immediately and evicts the idle
+ * adapter with the lowest retention value.
  */
 final class Baseline implements Placement {
 
-  /** Tells how much an idle adapter is worth keeping; the least is evicted. */
-  interface Worth {
+  /** Eviction rule: values the retention of an idle adapter; the lowest value is evicted. */
+  interface RetentionValue {
     double of(long nowMs, AdapterVersion adapter, long lastUseMs);
   }
 
@@ -53,7 +53,7 @@
 
   private record Running(Node node, Slot slot) {}
 
-  private final Worth worth;
+  private final RetentionValue retentionValue;
   private final boolean pooled;
   private final int maxLoads;
   private final Map<EndpointId, Node> nodes = new LinkedHashMap<>();
@@ -63,17 +63,18 @@
   /**
    * Creates a placement.
    *
-   * @param worth the eviction rule
-   * @param pooled whether a request may run on another endpoint than the preferred one
-   * @param maxLoads loads at once; when limited, the adapter that most requests wait for goes first
+   * @param retentionValue the eviction rule
+   * @param pooled whether a request may run on an endpoint other than the preferred one
+   * @param maxLoads maximum number of concurrent loads; if limited, the adapter that most requests
+   *     wait for is loaded first
    */
-  Baseline(Worth worth, boolean pooled, int maxLoads) {
-    this.worth = worth;
+  Baseline(RetentionValue retentionValue, boolean pooled, int maxLoads) {
+    this.retentionValue = retentionValue;
     this.pooled = pooled;
     this.maxLoads = maxLoads;
   }
 
-  /** Returns streams and queued requests of an endpoint. */
+  /** Returns the number of streams and queued requests of an endpoint. */
   int load(EndpointId endpoint) {
     int queued = 0;
     for (PlacementRequest request : queue.values()) {
@@ -82,7 +83,7 @@
     return nodes.get(endpoint).streams + queued;
   }
 
-  /** Tells whether an endpoint holds or loads an adapter. */
+  /** Returns whether an endpoint holds or loads an adapter. */
   boolean holds(EndpointId endpoint, AdapterVersion adapter) {
     return nodes.get(endpoint).slots.stream().anyMatch(slot -> slot.adapter.equals(adapter));
   }
@@ -93,23 +94,23 @@
     if (old != null) {
       running.values().removeIf(run -> run.node() == old);
     }
-    return pump(nowMs);
+    return dispatch(nowMs);
   }
 
   @Override
   public List<PlacementAction> endpointLeft(long nowMs, EndpointId endpoint) {
-    throw new UnsupportedOperationException("no endpoint leaves in the bench");
+    throw new UnsupportedOperationException("endpoints don't leave in the simulation");
   }
 
   @Override
   public List<PlacementAction> endpointDraining(long nowMs, EndpointId endpoint) {
-    throw new UnsupportedOperationException("no endpoint leaves in the bench");
+    throw new UnsupportedOperationException("endpoints don't leave in the simulation");
   }
 
   @Override
   public List<PlacementAction> requestArrived(long nowMs, PlacementRequest request) {
     queue.put(request.id(), request);
-    return pump(nowMs);
+    return dispatch(nowMs);
   }
 
   @Override
@@ -123,7 +124,7 @@
     Running run = running.remove(request);
     run.node().streams--;
     run.slot().streams--;
-    return pump(nowMs);
+    return dispatch(nowMs);
   }
 
   @Override
@@ -134,21 +135,21 @@
         result.handle().ifPresentOrElse(h -> slot.handle = h, () -> node.slots.remove(slot));
       }
     }
-    return pump(nowMs);
+    return dispatch(nowMs);
   }
 
   @Override
   public List<PlacementAction> tick(long nowMs) {
-    return maxLoads == Integer.MAX_VALUE ? List.of() : pump(nowMs);
+    return maxLoads == Integer.MAX_VALUE ? List.of() : dispatch(nowMs);
   }
 
-  private List<PlacementAction> pump(long nowMs) {
+  private List<PlacementAction> dispatch(long nowMs) {
     List<PlacementAction> actions = new ArrayList<>();
     for (PlacementRequest request : List.copyOf(queue.values())) {
       start(nowMs, request, actions);
     }
     for (PlacementRequest request : loadOrder()) {
-      if (maxLoads != Integer.MAX_VALUE && loading(nowMs) >= maxLoads) {
+      if (maxLoads != Integer.MAX_VALUE && loadsInProgress(nowMs) >= maxLoads) {
         break;
       }
       load(nowMs, request, actions);
@@ -156,8 +157,10 @@
     return actions;
   }
 
-  /** Counts loads that move; one that hangs is known at once when loads go one at a time. */
-  private long loading(long nowMs) {
+  /**
+   * Counts the loads in progress that have not hung. Hangs are detected only if loads are limited.
+   */
+  private long loadsInProgress(long nowMs) {
     return nodes.values().stream()
         .flatMap(node -> node.slots.stream())
         .filter(slot -> slot.handle == null && !hung(nowMs, slot))
@@ -165,8 +168,8 @@
   }
 
   private boolean hung(long nowMs, Slot slot) {
-    boolean late = nowMs - slot.sinceMs > 2 * WeightStore.ALONE_MS;
-    return maxLoads != Integer.MAX_VALUE && slot.handle == null && late;
+    boolean timedOut = nowMs - slot.sinceMs > 2 * WeightStore.ALONE_MS;
+    return maxLoads != Integer.MAX_VALUE && slot.handle == null && timedOut;
   }
 
   private List<Node> candidates(PlacementRequest request) {
@@ -231,7 +234,8 @@
       }
       for (Slot slot : node.slots) {
         boolean idle = slot.handle != null && slot.streams == 0;
-        if (idle && (victim == null || worth(nowMs, slot) < worth(nowMs, victim))) {
+        if (idle
+            && (victim == null || retentionValue(nowMs, slot) < retentionValue(nowMs, victim))) {
           best = node;
           victim = slot;
         }
@@ -249,7 +253,7 @@
             Optional.ofNullable(victim).map(slot -> slot.handle)));
   }
 
-  private double worth(long nowMs, Slot slot) {
-    return worth.of(nowMs, slot.adapter, slot.lastUseMs);
+  private double retentionValue(long nowMs, Slot slot) {
+    return retentionValue.of(nowMs, slot.adapter, slot.lastUseMs);
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Engine.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Engine.java
@@ -10,19 +10,19 @@
 import java.util.List;
 import java.util.Set;
 
-/** A model engine: slots for adapters, and steps that give each stream of the batch one token. */
+/** A simulated engine: adapter slots, and steps that generate one token for each batched stream. */
 final class Engine {
 
-  /** A step with one stream. */
+  /** Duration of a step with one stream. */
   static final double STEP_MS = 5;
 
-  /** What each further stream adds to a step. */
+  /** Time that each additional stream adds to a step. */
   static final double STREAM_MS = 0.25;
 
-  /** What each further adapter in the batch adds to a step. */
+  /** Time that each additional adapter in the batch adds to a step. */
   static final double ADAPTER_MS = 0.75;
 
-  /** One slot that is not free. */
+  /** An occupied slot. */
   static final class Slot {
     final AdapterVersion adapter;
     final LoadHandle handle;
@@ -43,7 +43,7 @@
     }
   }
 
-  /** One running request. */
+  /** A running request. */
   static final class Stream {
     final Workload.Arrival arrival;
     final Slot slot;
@@ -68,12 +68,12 @@
   private final int maxStreams;
   private List<Stream> batch = List.of();
 
-  Engine(EndpointId id, ModelId model, int owner, Shape shape) {
+  Engine(EndpointId id, ModelId model, int owner, SimulationConfig config) {
     this.id = id;
     this.model = model;
     this.owner = owner;
-    this.maxSlots = shape.slots();
-    this.maxStreams = shape.maxStreams();
+    this.maxSlots = config.slots();
+    this.maxStreams = config.maxStreams();
   }
 
   EndpointStatus emptyStatus() {
@@ -83,14 +83,15 @@
   void evict(LoadHandle handle) {
     Slot slot = slot(handle);
     if (!slot.ready() || slot.streams > 0) {
-      throw new IllegalStateException(id + " evicts " + slot.adapter + " while in use");
+      throw new IllegalStateException(
+          id + " evicts " + slot.adapter + " while it is loading or in use");
     }
     slots.remove(slot);
   }
 
   Slot load(AdapterVersion adapter, LoadHandle handle, LoadCause cause, double beginMs) {
     if (slots.size() == maxSlots) {
-      throw new IllegalStateException(id + " has no slot for " + adapter);
+      throw new IllegalStateException(id + " has no free slot for " + adapter);
     }
     Slot slot = new Slot(adapter, handle, cause, beginMs);
     slots.add(slot);
@@ -118,7 +119,7 @@
     return !batch.isEmpty();
   }
 
-  /** Begins a step over the streams there are and returns how long it takes. */
+  /** Begins a step over the current streams and returns its duration in milliseconds. */
   double beginStep() {
     batch = List.copyOf(streams);
     Set<AdapterVersion> adapters = new HashSet<>();
@@ -129,7 +130,7 @@
     return length;
   }
 
-  /** Ends the step and returns the streams that got their last token. */
+  /** Ends the step and returns the streams that are complete. */
   List<Stream> endStep(double lengthMs, boolean measured) {
     if (measured) {
       busyMs += lengthMs;
@@ -147,7 +148,7 @@
     return ended;
   }
 
-  /** Restarts empty and returns the streams that it lost. */
+  /** Restarts without adapters and returns the streams that were lost. */
   List<Stream> restart() {
     List<Stream> lost = List.copyOf(streams);
     streams.clear();
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/LoadCause.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/LoadCause.java
@@ -1,11 +1,11 @@
 package io.sequoiapass.testbed.policy;
 
-/** Why an adapter had to be loaded, as far as the engines' earlier contents tell. */
+/** Cause of an adapter load, derived from the previous contents of the engines. */
 enum LoadCause {
-  /** No engine has held it before: only a prefetch could have avoided the load. */
+  /** No engine has held the adapter before: only a prefetch could have avoided the load. */
   FIRST,
-  /** An engine held it and evicted it or restarted. */
+  /** An engine held the adapter before, and evicted it or restarted. */
   AGAIN,
-  /** Another engine holds or loads it at this moment. */
+  /** Another engine holds or loads the adapter. */
   ELSEWHERE
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Policies.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Policies.java
@@ -13,91 +13,91 @@
 import java.util.Random;
 import java.util.function.Supplier;
 
-/** The policies that the bench compares. */
+/** Placement policies to compare. */
 enum Policies {
   /** The daemon's router and placement. */
   ADAPTIVE {
     @Override
-    Policy create(Shape shape, long seed, List<Workload.Arrival> arrivals) {
-      return new AdaptivePolicy(shape);
+    Policy create(SimulationConfig config, long seed, List<Workload.Arrival> arrivals) {
+      return new AdaptivePolicy(config);
     }
   },
-  /** Least recently used is evicted; the least loaded engine gets the request. */
+  /** Evicts the least recently used adapter; routes to the least loaded engine. */
   LRU {
     @Override
-    Policy create(Shape shape, long seed, List<Workload.Arrival> arrivals) {
-      return new Plain(shape, () -> lru(), false);
+    Policy create(SimulationConfig config, long seed, List<Workload.Arrival> arrivals) {
+      return new BaselinePolicy(config, () -> lru(), false);
     }
   },
-  /** The same, but an engine that holds the adapter goes first, known exactly and at once. */
+  /** Like LRU, but prefers engines that hold the adapter, with exact and current information. */
   LRU_RESIDENT {
     @Override
-    Policy create(Shape shape, long seed, List<Workload.Arrival> arrivals) {
-      return new Plain(shape, () -> lru(), true);
+    Policy create(SimulationConfig config, long seed, List<Workload.Arrival> arrivals) {
+      return new BaselinePolicy(config, () -> lru(), true);
     }
   },
-  /** A random engine, a random idle adapter evicted. */
+  /** Routes to a random engine and evicts a random idle adapter. */
   RANDOM {
     @Override
-    Policy create(Shape shape, long seed, List<Workload.Arrival> arrivals) {
+    Policy create(SimulationConfig config, long seed, List<Workload.Arrival> arrivals) {
       Random random = new Random(seed);
-      return new Plain(
-          shape,
+      return new BaselinePolicy(
+          config,
           () -> new Baseline((now, adapter, used) -> random.nextDouble(), false, Integer.MAX_VALUE),
           false) {
         @Override
         public EndpointId route(double now, Workload.Arrival arrival, List<Engine> engines) {
-          List<Engine> fitting = fitting(arrival, engines);
-          return fitting.get(random.nextInt(fitting.size())).id;
+          List<Engine> eligible = enginesFor(arrival, engines);
+          return eligible.get(random.nextInt(eligible.size())).id;
         }
       };
     }
   },
   /**
-   * One placement over all engines that knows how often each adapter is asked for in this half of
-   * the run, but not when: what the best estimate of demand could reach.
+   * One placement over all engines that is given the exact demand for each adapter in each half of
+   * the run, but no arrival times: the bound for a perfect estimate of demand.
    */
   KNOWN_DEMAND {
     @Override
-    Policy create(Shape shape, long seed, List<Workload.Arrival> arrivals) {
+    Policy create(SimulationConfig config, long seed, List<Workload.Arrival> arrivals) {
       Map<AdapterVersion, Integer> first = new HashMap<>();
       Map<AdapterVersion, Integer> second = new HashMap<>();
       for (Workload.Arrival arrival : arrivals) {
-        (arrival.atMs() < shape.halfMs() ? first : second)
+        (arrival.atMs() < config.halfMs() ? first : second)
             .merge(arrival.adapter(), 1, Integer::sum);
       }
-      Baseline.Worth worth =
-          (now, adapter, used) -> (now < shape.halfMs() ? first : second).getOrDefault(adapter, 0);
-      Baseline all = new Baseline(worth, true, 1);
-      return new Plain(shape, () -> all, false);
+      Baseline.RetentionValue demand =
+          (now, adapter, used) -> (now < config.halfMs() ? first : second).getOrDefault(adapter, 0);
+      Baseline all = new Baseline(demand, true, 1);
+      return new BaselinePolicy(config, () -> all, false);
     }
   },
   /**
-   * One placement over all engines that knows each adapter's next arrival when it evicts, loads one
-   * at a time, most waited for first; it loads nothing before somebody asks.
+   * One placement over all engines that evicts by the exact next arrival for each adapter. Loads
+   * one adapter at a time, the one with the most waiting requests first; does not prefetch.
    */
   CLAIRVOYANT {
     @Override
-    Policy create(Shape shape, long seed, List<Workload.Arrival> arrivals) {
-      NextUse next = new NextUse(arrivals);
+    Policy create(SimulationConfig config, long seed, List<Workload.Arrival> arrivals) {
+      NextArrival next = new NextArrival(arrivals);
       Baseline all = new Baseline((now, adapter, used) -> -next.after(now, adapter), true, 1);
-      return new Plain(shape, () -> all, false);
+      return new BaselinePolicy(config, () -> all, false);
     }
   };
 
-  abstract Policy create(Shape shape, long seed, List<Workload.Arrival> arrivals);
+  abstract Policy create(SimulationConfig config, long seed, List<Workload.Arrival> arrivals);
 
   private static Baseline lru() {
     return new Baseline((now, adapter, used) -> used, false, Integer.MAX_VALUE);
   }
 
-  /** A policy of baselines. */
-  private static class Plain implements Policy {
+  /** A policy that uses baseline placements. */
+  private static class BaselinePolicy implements Policy {
     private final List<Baseline> placements = new ArrayList<>();
     private final boolean residentFirst;
 
-    Plain(Shape shape, Supplier<Baseline> baseline, boolean residentFirst) {
-      for (int i = 0; i < shape.owners(); i++) {
+    BaselinePolicy(SimulationConfig config, Supplier<Baseline> baseline, boolean residentFirst) {
+      for (int i = 0; i < config.owners(); i++) {
         placements.add(baseline.get());
       }
       this.residentFirst = residentFirst;
@@ -116,30 +116,30 @@
             Comparator.comparing(e -> !placements.get(e.owner).holds(e.id, arrival.adapter()));
         order = holds.thenComparing(order);
       }
-      return fitting(arrival, engines).stream().min(order).orElseThrow().id;
+      return enginesFor(arrival, engines).stream().min(order).orElseThrow().id;
     }
 
-    static List<Engine> fitting(Workload.Arrival arrival, List<Engine> engines) {
+    static List<Engine> enginesFor(Workload.Arrival arrival, List<Engine> engines) {
       return engines.stream().filter(e -> e.model.equals(arrival.model())).toList();
     }
   }
 
-  /** Knows when each adapter is asked for next. */
-  private static final class NextUse {
+  /** Looks up the next arrival for an adapter in the workload. */
+  private static final class NextArrival {
     private final Map<AdapterVersion, Deque<Double>> times = new HashMap<>();
 
-    NextUse(List<Workload.Arrival> arrivals) {
+    NextArrival(List<Workload.Arrival> arrivals) {
       for (Workload.Arrival arrival : arrivals) {
         times.computeIfAbsent(arrival.adapter(), a -> new ArrayDeque<>()).add(arrival.atMs());
       }
     }
 
     double after(long nowMs, AdapterVersion adapter) {
-      Deque<Double> left = times.get(adapter);
-      while (left != null && !left.isEmpty() && left.peek() <= nowMs) {
-        left.remove();
+      Deque<Double> remaining = times.get(adapter);
+      while (remaining != null && !remaining.isEmpty() && remaining.peek() <= nowMs) {
+        remaining.remove();
       }
-      return left == null || left.isEmpty() ? Double.MAX_VALUE : left.peek();
+      return remaining == null || remaining.isEmpty() ? Double.MAX_VALUE : remaining.peek();
     }
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Policy.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Policy.java
@@ -4,15 +4,15 @@
 import io.sequoiapass.daemon.process.placement.Placement;
 import java.util.List;
 
-/** One policy at work in one run: a router for all entries and a placement for each owner. */
+/** Policy of one run: a router for all entries and a placement for each owner. */
 interface Policy {
 
   /** Returns the placement of an owner. */
   Placement placement(int owner);
 
-  /** Chooses the endpoint whose owner gets the request. */
+  /** Selects the endpoint whose owner receives the request. */
   EndpointId route(double nowMs, Workload.Arrival arrival, List<Engine> engines);
 
-  /** Time went by: owners' reports to each other may travel. */
+  /** Called at regular intervals, for example to deliver reports between owners. */
   default void tick(long nowMs) {}
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/PolicyBench.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/PolicyBench.java
@@ -25,7 +25,7 @@
  */
 public final class PolicyBench {
 
-  private static final int USAGE = 2;
+  private static final int USAGE_EXIT_CODE = 2;
   private static final double MEDIAN = 50;
   private static final double P95 = 95;
   private static final double P99 = 99;
@@ -33,10 +33,10 @@
   private PolicyBench() {}
 
   /**
-   * Runs the bench.
+   * Runs the comparison.
    *
-   * @param args its flags
-   * @return the exit code: 0, or 2 if a flag is wrong
+   * @param args the flags
+   * @return the exit code: 0, or 2 if a flag is invalid
    */
   public static int run(String[] args) {
     try {
@@ -61,7 +61,7 @@
       return 0;
     } catch (ParseException | IllegalArgumentException | IOException e) {
       System.err.println("policy: " + e.getMessage());
-      return USAGE;
+      return USAGE_EXIT_CODE;
     }
   }
 
@@ -83,13 +83,13 @@
         "evict",
         "good/s",
         "lost");
-    Shape shape = settings.shape(user);
+    SimulationConfig config = settings.config(user);
     Map<Policies, double[]> totals = new EnumMap<>(Policies.class);
     for (long seed : settings.seeds()) {
-      List<Workload.Arrival> arrivals = Workload.generate(shape, scenario, seed);
+      List<Workload.Arrival> arrivals = Workload.generate(config, scenario, seed);
       for (Policies policy : settings.policies()) {
-        Policy used = policy.create(shape, seed, arrivals);
-        Score score = new Simulation(shape, scenario, seed, used).run(arrivals);
+        Policy used = policy.create(config, seed, arrivals);
+        Score score = new Simulation(config, scenario, seed, used).run(arrivals);
         double[] sum = totals.computeIfAbsent(policy, p -> new double[2]);
         sum[0] += score.stallSeconds();
         sum[1] += score.batchEfficiency() / settings.seeds().size();
@@ -101,7 +101,7 @@
         csv.add(row.trim().replaceAll(" +", ","));
       }
     }
-    double[] ours = totals.get(settings.policies().get(0));
+    double[] reference = totals.get(settings.policies().get(0));
     for (Policies policy : settings.policies()) {
       double[] other = totals.get(policy);
       out.printf(
@@ -111,8 +111,8 @@
           scenario,
           settings.policies().get(0),
           policy,
-          ours[0] / other[0],
-          ours[1] / other[1]);
+          reference[0] / other[0],
+          reference[1] / other[1]);
     }
   }
 
@@ -159,7 +159,7 @@
     return options;
   }
 
-  /** The flags, read. */
+  /** Parsed flags. */
   private record Settings(
       CommandLine line, List<User> users, List<Scenario> scenarios, List<Long> seeds, String csv) {
 
@@ -194,22 +194,22 @@
       return Arrays.stream(names.split(",", -1)).map(Policies::valueOf).toList();
     }
 
-    Shape shape(User user) {
-      return new Shape(
+    SimulationConfig config(User user) {
+      return new SimulationConfig(
           user,
           Double.parseDouble(line.getOptionValue("zipf", "1.2")),
-          whole("adapters", 3000),
-          whole("slots", 8),
-          whole("streams", 16),
-          whole("owners", 7),
-          whole("runners", 13),
-          whole("second", 3),
+          positive("adapters", 3000),
+          positive("slots", 8),
+          positive("streams", 16),
+          positive("owners", 7),
+          positive("runners", 13),
+          positive("second", 3),
           Double.parseDouble(line.getOptionValue("rate", Double.toString(user.rate()))),
-          whole("seconds", 600));
+          positive("seconds", 600));
     }
 
-    private int whole(String flag, int otherwise) {
-      int value = Integer.parseInt(line.getOptionValue(flag, Integer.toString(otherwise)));
+    private int positive(String flag, int fallback) {
+      int value = Integer.parseInt(line.getOptionValue(flag, Integer.toString(fallback)));
       if (value < 1) {
         throw new IllegalArgumentException("--" + flag + " must be at least 1: " + value);
       }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Scenario.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Scenario.java
@@ -1,31 +1,31 @@
 package io.sequoiapass.testbed.policy;
 
-/** What happens to the fleet during one run. */
+/** Load and faults of one run. */
 enum Scenario {
-  /** Steady arrivals. */
+  /** Constant arrival rate, no faults. */
   ORDINARY,
-  /** {@value #PEAK_FACTOR} times the arrivals in the second half. */
+  /** {@value #PEAK_FACTOR} times the arrival rate in the second half. */
   PEAK,
-  /** Popularity is dealt out anew at half time. */
+  /** The popularity ranks are shuffled at the middle of the run. */
   FLIP,
-  /** Every second engine restarts empty at half time. */
+  /** Every second engine restarts without adapters at the middle of the run. */
   COLD_HALF,
   /** One load in five fails and one in fifty hangs. */
   LOAD_FAILURES;
 
   static final double PEAK_FACTOR = 1.75;
-  private static final double FAILING_SHARE = 0.2;
-  private static final double HANGING_SHARE = 0.02;
+  private static final double LOAD_FAILURE_PROBABILITY = 0.2;
+  private static final double LOAD_HANG_PROBABILITY = 0.02;
 
   double rateFactor(boolean secondHalf) {
     return this == PEAK && secondHalf ? PEAK_FACTOR : 1;
   }
 
-  double failingShare() {
-    return this == LOAD_FAILURES ? FAILING_SHARE : 0;
+  double loadFailureProbability() {
+    return this == LOAD_FAILURES ? LOAD_FAILURE_PROBABILITY : 0;
   }
 
-  double hangingShare() {
-    return this == LOAD_FAILURES ? HANGING_SHARE : 0;
+  double loadHangProbability() {
+    return this == LOAD_FAILURES ? LOAD_HANG_PROBABILITY : 0;
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Score.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Score.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** What one run came to; only requests that arrive after the warm-up count. */
+/** Results of one run. Excludes requests that arrive during the warm-up. */
 final class Score {
 
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
-  private final Shape shape;
-  private final Histogram stalls = new Histogram(DIGITS);
-  private final Histogram deadlineStalls = new Histogram(DIGITS);
-  private final Breakdown breakdown = new Breakdown();
+  private final SimulationConfig config;
+  private final Histogram stalls = new Histogram(SIGNIFICANT_DIGITS);
+  private final Histogram deadlineStalls = new Histogram(SIGNIFICANT_DIGITS);
+  private final StallBreakdown breakdown = new StallBreakdown();
   private double stallMs;
   private double busyMs;
   private long tokens;
@@ -21,35 +21,35 @@
   private long answered;
   private long lost;
 
-  Score(Shape shape) {
-    this.shape = shape;
+  Score(SimulationConfig config) {
+    this.config = config;
   }
 
   void started(Workload.Arrival arrival, Engine.Slot slot, double queuedMs, double nowMs) {
     double readyMs = Math.max(queuedMs, Math.min(nowMs, slot.readyMs));
     record(arrival, readyMs - queuedMs);
-    if (counts(arrival) && readyMs > queuedMs) {
+    if (isMeasured(arrival) && readyMs > queuedMs) {
       breakdown.waited(slot, queuedMs, readyMs);
     }
   }
 
-  /** Counts the whole time up to the deadline, so that refusing can't improve a policy's stalls. */
+  /** Counts the time to the deadline as stall, so that refusals don't improve a policy's result. */
   void lost(Workload.Arrival arrival) {
     record(arrival, arrival.deadlineMs() - arrival.atMs());
-    if (counts(arrival)) {
+    if (isMeasured(arrival)) {
       breakdown.lost(arrival.deadlineMs() - arrival.atMs());
       lost++;
     }
   }
 
   void answered(Workload.Arrival arrival) {
-    if (counts(arrival)) {
+    if (isMeasured(arrival)) {
       answered++;
     }
   }
 
   void load(double nowMs, LoadCause cause, boolean evicts) {
-    if (nowMs >= shape.warmUpMs() && nowMs < shape.endMs()) {
+    if (nowMs >= config.warmUpMs() && nowMs < config.endMs()) {
       loads++;
       breakdown.load(cause);
       evictions += evicts ? 1 : 0;
@@ -63,7 +63,7 @@
     }
   }
 
-  Breakdown breakdown() {
+  StallBreakdown breakdown() {
     return breakdown;
   }
 
@@ -79,10 +79,10 @@
     return deadlineStalls.getValueAtPercentile(percentile);
   }
 
-  /** Tokens for the engines' busy time, as a share of a full batch of one adapter. */
+  /** Returns tokens per busy time of the engines, relative to a full batch of one adapter. */
   double batchEfficiency() {
-    double fullStepMs = Engine.STEP_MS + Engine.STREAM_MS * (shape.maxStreams() - 1);
-    return tokens / busyMs / (shape.maxStreams() / fullStepMs);
+    double fullStepMs = Engine.STEP_MS + Engine.STREAM_MS * (config.maxStreams() - 1);
+    return tokens / busyMs / (config.maxStreams() / fullStepMs);
   }
 
   long loads() {
@@ -98,11 +98,11 @@
   }
 
   double goodput() {
-    return answered * 1000.0 / (shape.endMs() - shape.warmUpMs());
+    return answered * 1000.0 / (config.endMs() - config.warmUpMs());
   }
 
   private void record(Workload.Arrival arrival, double waitedMs) {
-    if (!counts(arrival)) {
+    if (!isMeasured(arrival)) {
       return;
     }
     stallMs += waitedMs;
@@ -112,7 +112,7 @@
     }
   }
 
-  private boolean counts(Workload.Arrival arrival) {
-    return arrival.atMs() >= shape.warmUpMs();
+  private boolean isMeasured(Workload.Arrival arrival) {
+    return arrival.atMs() >= config.warmUpMs();
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Simulation.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Simulation.java
@@ -20,41 +20,41 @@
 import java.util.Set;
 
 /**
- * Plays one workload through one policy in virtual time, and fails at once if the policy breaks a
- * rule of the engines.
+ * Discrete-event simulation of one workload under one policy. Throws an exception if the policy
+ * violates a constraint of an engine.
  */
 final class Simulation {
 
-  private static final double TICK_MS = 25;
+  private static final double TICK_INTERVAL_MS = 25;
   private static final double HANG_MS = 30_000;
 
-  /** How long the run goes on after the last arrival, so that the last answers end. */
+  /** Simulated time after the last arrival, so that the last requests can complete. */
   private static final double DRAIN_MS = 90_000;
 
-  /** A request between its arrival and its end. */
-  private static final class Ticket {
+  /** A request that has arrived and not ended. */
+  private static final class PendingRequest {
     final Workload.Arrival arrival;
     double queuedMs;
     int tokensLeft;
     boolean started;
 
-    Ticket(Workload.Arrival arrival, double queuedMs, int tokensLeft) {
+    PendingRequest(Workload.Arrival arrival, double queuedMs, int tokensLeft) {
       this.arrival = arrival;
       this.queuedMs = queuedMs;
       this.tokensLeft = tokensLeft;
     }
   }
 
-  private record Event(double atMs, long order, Runnable step) {}
+  private record Event(double atMs, long order, Runnable action) {}
 
-  private final Shape shape;
+  private final SimulationConfig config;
   private final Scenario scenario;
   private final Policy policy;
   private final Score score;
   private final Random faults;
   private final List<Engine> engines = new ArrayList<>();
   private final Map<EndpointId, Engine> byId = new HashMap<>();
-  private final Map<RequestId, Ticket> tickets = new HashMap<>();
+  private final Map<RequestId, PendingRequest> requests = new HashMap<>();
   private final Set<AdapterVersion> held = new HashSet<>();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
@@ -62,17 +62,17 @@
   private double now;
   private long order;
 
-  Simulation(Shape shape, Scenario scenario, long seed, Policy policy) {
-    this.shape = shape;
+  Simulation(SimulationConfig config, Scenario scenario, long seed, Policy policy) {
+    this.config = config;
     this.scenario = scenario;
     this.policy = policy;
-    this.score = new Score(shape);
+    this.score = new Score(config);
     this.faults = new Random(~seed);
-    for (int i = 0; i < shape.engines(); i++) {
-      boolean main = i < shape.runners();
+    for (int i = 0; i < config.engines(); i++) {
+      boolean main = i < config.runners();
       EndpointId id = new EndpointId((main ? "main-" : "second-") + i);
       Engine engine =
-          new Engine(id, main ? Workload.MAIN : Workload.SECOND, shape.ownerOf(i), shape);
+          new Engine(id, main ? Workload.MAIN : Workload.SECOND, config.ownerOf(i), config);
       engines.add(engine);
       byId.put(id, engine);
     }
@@ -83,37 +83,37 @@
       apply(owner(engine).endpointJoined(0, engine.emptyStatus()));
     }
     for (Workload.Arrival arrival : arrivals) {
-      at(arrival.atMs(), () -> arrive(new Ticket(arrival, now, arrival.tokens())));
+      schedule(arrival.atMs(), () -> arrive(new PendingRequest(arrival, now, arrival.tokens())));
     }
-    for (int i = 0; i < shape.owners(); i++) {
+    for (int i = 0; i < config.owners(); i++) {
       Placement placement = policy.placement(i);
-      at(TICK_MS * (i + 1) / shape.owners(), () -> tick(placement));
+      schedule(TICK_INTERVAL_MS * (i + 1) / config.owners(), () -> tick(placement));
     }
     if (scenario == Scenario.COLD_HALF) {
-      at(shape.halfMs(), this::restartHalf);
+      schedule(config.halfMs(), this::restartHalf);
     }
-    while (now < shape.endMs() + DRAIN_MS) {
-      step();
+    while (now < config.endMs() + DRAIN_MS) {
+      processNextEvent();
     }
     score.engines(engines);
     return score;
   }
 
-  private void step() {
+  private void processNextEvent() {
     double storeMs = store.idle() ? Double.POSITIVE_INFINITY : store.nextEndMs();
     if (storeMs <= events.peek().atMs()) {
       now = storeMs;
       WeightStore.Transfer ended = store.takeEnded(now);
-      loadEnded(ended.engine, ended.slot, faults.nextDouble() >= scenario.failingShare());
+      loadEnded(ended.engine, ended.slot, faults.nextDouble() >= scenario.loadFailureProbability());
     } else {
       Event event = events.remove();
       now = event.atMs();
-      event.step().run();
+      event.action().run();
     }
   }
 
-  private void at(double atMs, Runnable step) {
-    events.add(new Event(atMs, order++, step));
+  private void schedule(double atMs, Runnable action) {
+    events.add(new Event(atMs, order++, action));
   }
 
   private long millis() {
@@ -127,16 +127,16 @@
   private void tick(Placement placement) {
     policy.tick(millis());
     apply(placement.tick(millis()));
-    at(now + TICK_MS, () -> tick(placement));
+    schedule(now + TICK_INTERVAL_MS, () -> tick(placement));
   }
 
-  private void arrive(Ticket ticket) {
-    Workload.Arrival arrival = ticket.arrival;
+  private void arrive(PendingRequest request) {
+    Workload.Arrival arrival = request.arrival;
     Engine preferred = byId.get(policy.route(now, arrival, engines));
     RequestId id = new RequestId(Integer.toString(arrival.index()));
-    tickets.put(id, ticket);
+    requests.put(id, request);
     Placement placement = owner(preferred);
-    at((double) arrival.deadlineMs(), () -> withdraw(placement, id, ticket));
+    schedule((double) arrival.deadlineMs(), () -> withdraw(placement, id, request));
     apply(
         placement.requestArrived(
             millis(),
@@ -150,10 +150,10 @@
                 preferred.id)));
   }
 
-  private void withdraw(Placement placement, RequestId id, Ticket ticket) {
-    if (tickets.get(id) == ticket && !ticket.started) {
-      tickets.remove(id);
-      score.lost(ticket.arrival);
+  private void withdraw(Placement placement, RequestId id, PendingRequest request) {
+    if (requests.get(id) == request && !request.started) {
+      requests.remove(id);
+      score.lost(request.arrival);
       apply(placement.requestWithdrawn(millis(), id));
     }
   }
@@ -165,20 +165,20 @@
       } else if (action instanceof PlacementAction.Load load) {
         load(load);
       } else if (action instanceof PlacementAction.Refuse refuse) {
-        score.lost(tickets.remove(refuse.request()).arrival);
+        score.lost(requests.remove(refuse.request()).arrival);
       }
     }
   }
 
   private void start(PlacementAction.Start start) {
     Engine engine = byId.get(start.endpoint());
-    Ticket ticket = tickets.get(start.request());
-    if (ticket.started) {
-      throw new IllegalStateException("started twice: " + start);
+    PendingRequest request = requests.get(start.request());
+    if (request.started) {
+      throw new IllegalStateException("request started twice: " + start);
     }
-    ticket.started = true;
-    engine.start(ticket.arrival, start.handle(), ticket.tokensLeft);
-    score.started(ticket.arrival, engine.slot(start.handle()), ticket.queuedMs, now);
+    request.started = true;
+    engine.start(request.arrival, start.handle(), request.tokensLeft);
+    score.started(request.arrival, engine.slot(start.handle()), request.queuedMs, now);
     beginStep(engine);
   }
 
@@ -188,8 +188,8 @@
     LoadCause cause = causeOf(load.adapter());
     score.load(now, cause, load.evict().isPresent());
     Engine.Slot slot = engine.load(load.adapter(), new LoadHandle("h" + order++), cause, now);
-    if (faults.nextDouble() < scenario.hangingShare()) {
-      at(now + HANG_MS, () -> loadEnded(engine, slot, false));
+    if (faults.nextDouble() < scenario.loadHangProbability()) {
+      schedule(now + HANG_MS, () -> loadEnded(engine, slot, false));
     } else {
       store.add(now, new WeightStore.Transfer(engine, slot));
     }
@@ -222,17 +222,17 @@
     }
     double length = engine.beginStep();
     int boot = engine.boot;
-    at(now + length, () -> endStep(engine, boot, length));
+    schedule(now + length, () -> endStep(engine, boot, length));
   }
 
   private void endStep(Engine engine, int boot, double length) {
     if (engine.boot != boot) {
       return;
     }
-    boolean measured = now >= shape.warmUpMs() && now < shape.endMs();
+    boolean measured = now >= config.warmUpMs() && now < config.endMs();
     for (Engine.Stream stream : engine.endStep(length, measured)) {
       RequestId id = new RequestId(Integer.toString(stream.arrival.index()));
-      tickets.remove(id);
+      requests.remove(id);
       score.answered(stream.arrival);
       apply(owner(engine).requestFinished(millis(), id));
     }
@@ -246,7 +246,7 @@
       List<Engine.Stream> lost = engine.restart();
       apply(owner(engine).endpointJoined(millis(), engine.emptyStatus()));
       for (Engine.Stream stream : lost) {
-        arrive(new Ticket(stream.arrival, now, stream.tokensLeft));
+        arrive(new PendingRequest(stream.arrival, now, stream.tokensLeft));
       }
     }
   }
--- /dev/null
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/SimulationConfig.java
@@ -0,0 +1,55 @@
+package io.sequoiapass.testbed.policy;
+
+/**
+ * Parameters of one simulation run.
+ *
+ * @param user profile of the requests
+ * @param zipf exponent of the adapters' popularity
+ * @param adapters number of adapters of the main model; the second model has a fifth of them
+ * @param slots adapter slots of an engine
+ * @param maxStreams maximum number of concurrent streams of an engine
+ * @param owners number of daemons that share the engines
+ * @param runners number of engines of the main model
+ * @param secondRunners number of engines of the second model
+ * @param rate base arrival rate of both models together, in requests per second
+ * @param seconds duration of the run
+ */
+record SimulationConfig(
+    User user,
+    double zipf,
+    int adapters,
+    int slots,
+    int maxStreams,
+    int owners,
+    int runners,
+    int secondRunners,
+    double rate,
+    int seconds) {
+
+  /** Fraction of the adapters and of the arrivals that belong to the second model. */
+  static final double SECOND_SHARE = 0.2;
+
+  /** Fraction of the run in which requests only fill the slots and are not measured. */
+  private static final double WARM_UP_SHARE = 0.2;
+
+  double warmUpMs() {
+    return seconds * 1000.0 * WARM_UP_SHARE;
+  }
+
+  double endMs() {
+    return seconds * 1000.0;
+  }
+
+  double halfMs() {
+    return (warmUpMs() + endMs()) / 2;
+  }
+
+  int engines() {
+    return runners + secondRunners;
+  }
+
+  /** Engines alternate between owners, so that each owner has some of each model. */
+  int ownerOf(int engine) {
+    return engine % owners;
+  }
+}
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Breakdown.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/StallBreakdown.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /**
- * Adds up what the stall seconds of one run were spent on.
+ * StallBreakdown of the stall time of one run by part and by cause.
  *
  * <p>Not safe for use by several threads.
  */
-final class Breakdown {
+final class StallBreakdown {
 
   private final Map<StallPart, Double> partMs = new EnumMap<>(StallPart.class);
   private final Map<LoadCause, Double> causeMs = new EnumMap<>(LoadCause.class);
   private final Map<LoadCause, Integer> loads = new EnumMap<>(LoadCause.class);
 
-  /** Adds the wait of one request until the adapter in a slot was ready. */
+  /** Adds the wait of a request until the adapter in a slot was ready. */
   void waited(Engine.Slot slot, double queuedMs, double readyMs) {
     double beginMs = Math.min(readyMs, Math.max(queuedMs, slot.beginMs));
     double loadingMs = readyMs - beginMs;
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/StallPart.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/StallPart.java
@@ -1,13 +1,13 @@
 package io.sequoiapass.testbed.policy;
 
-/** What a request waits for while its adapter is not loaded. */
+/** Part of the time that a request waits while its adapter is not loaded. */
 enum StallPart {
-  /** The load that it ran on had not begun; failed loads before it count here. */
+  /** Until the successful load began, including failed loads before it. */
   TURN,
-  /** The load was under way, as long as it takes alone. */
+  /** Load in progress: the part that a load takes without contention. */
   TRANSFER,
-  /** The load was under way, and longer since other loads shared the weight store. */
+  /** Load in progress: the additional time due to other loads that share the weight store. */
   OVERLAP,
-  /** The request was refused or came too late: its whole time to the deadline. */
+  /** The total time to the deadline of a request that was refused or missed its deadline. */
   LOST
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/User.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/User.java
@@ -3,18 +3,18 @@
 import io.sequoiapass.daemon.process.placement.Urgency;
 import java.util.Random;
 
-/** Whose requests a run plays: how long answers are and how urgent. */
+/** Request profile of a user: rate, lengths of answers and mix of urgencies. */
 enum User {
-  /** Short notes and slips; drivers wait for most of them. */
+  /** Short notes and slips, mostly interactive because drivers wait for them. */
   YARDS(160, 10, 0.15, 0.75),
-  /** Long summaries for billing, with lookups before a hearing between them. */
+  /** Long summaries for billing, mixed with short lookups before a hearing. */
   COOPERATIVA(400, 6, 0.25, 0.25);
 
   private static final long DEADLINE_MS = 3_000;
   private static final long INTERACTIVE_MS = 10_000;
   private static final long BATCH_MS = 60_000;
 
-  /** A lookup's answer is this much shorter than the mean. */
+  /** Ratio of the mean answer length to that of a lookup. */
   private static final int LOOKUP_DIVISOR = 4;
 
   private final int meanTokens;
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/WeightStore.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/WeightStore.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The weight store: four loads a second, shared evenly by the loads under way. */
+/** Simulated weight store: four loads per second, shared evenly by the loads in progress. */
 final class WeightStore {
 
-  /** A load's time when it is alone. */
+  /** Duration of a load without contention. */
   static final double ALONE_MS = 250;
 
-  /** One load under way. */
+  /** A load in progress. */
   static final class Transfer {
     final Engine engine;
     final Engine.Slot slot;
-    private double leftMs = ALONE_MS;
+    private double remainingMs = ALONE_MS;
 
     Transfer(Engine engine, Engine.Slot slot) {
       this.engine = engine;
@@ -37,17 +37,17 @@
   double nextEndMs() {
     double least = Double.POSITIVE_INFINITY;
     for (Transfer transfer : active) {
-      least = Math.min(least, transfer.leftMs);
+      least = Math.min(least, transfer.remainingMs);
     }
     return lastMs + Math.max(0, least) * active.size();
   }
 
-  /** Takes out the transfer that ended at this time. */
+  /** Removes and returns the transfer that ends at the given time. */
   Transfer takeEnded(double nowMs) {
     advance(nowMs);
     Transfer first = active.get(0);
     for (Transfer transfer : active) {
-      if (transfer.leftMs < first.leftMs) {
+      if (transfer.remainingMs < first.remainingMs) {
         first = transfer;
       }
     }
@@ -61,7 +61,7 @@
 
   private void advance(double nowMs) {
     for (Transfer transfer : active) {
-      transfer.leftMs -= (nowMs - lastMs) / active.size();
+      transfer.remainingMs -= (nowMs - lastMs) / active.size();
     }
     lastMs = nowMs;
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Workload.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Workload.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Random;
 
-/** The arrivals of one run, the same for each policy. */
+/** Generates the arrivals of one run, which are the same for each policy. */
 final class Workload {
 
   static final ModelId MAIN = new ModelId("main");
   static final ModelId SECOND = new ModelId("second");
 
-  /** One request before it is placed. */
+  /** Arrival of a request. */
   record Arrival(
       int index,
       double atMs,
@@ -27,30 +27,33 @@
 
   private Workload() {}
 
-  static List<Arrival> generate(Shape shape, Scenario scenario, long seed) {
+  static List<Arrival> generate(SimulationConfig config, Scenario scenario, long seed) {
     Random random = new Random(seed);
-    int second = Math.max(1, (int) (shape.adapters() * Shape.SECOND_SHARE));
-    Popularity main = new Popularity("m", shape.adapters(), shape.zipf(), random);
-    Popularity other = new Popularity("s", second, shape.zipf(), random);
+    int second = Math.max(1, (int) (config.adapters() * SimulationConfig.SECOND_SHARE));
+    Popularity main = new Popularity("m", config.adapters(), config.zipf(), random);
+    Popularity other = new Popularity("s", second, config.zipf(), random);
     List<Arrival> arrivals = new ArrayList<>();
     boolean flipped = false;
     double now = 0;
     while (true) {
-      boolean secondHalf = now >= shape.halfMs();
+      boolean secondHalf = now >= config.halfMs();
       now -=
-          Math.log(1 - random.nextDouble()) * 1000 / shape.rate() / scenario.rateFactor(secondHalf);
-      if (now >= shape.endMs()) {
+          Math.log(1 - random.nextDouble())
+              * 1000
+              / config.rate()
+              / scenario.rateFactor(secondHalf);
+      if (now >= config.endMs()) {
         return arrivals;
       }
-      if (scenario == Scenario.FLIP && !flipped && now >= shape.halfMs()) {
+      if (scenario == Scenario.FLIP && !flipped && now >= config.halfMs()) {
         main.shuffle(random);
         other.shuffle(random);
         flipped = true;
       }
-      boolean isMain = random.nextDouble() >= Shape.SECOND_SHARE;
+      boolean isMain = random.nextDouble() >= SimulationConfig.SECOND_SHARE;
       AdapterVersion adapter = (isMain ? main : other).draw(random);
-      Urgency urgency = shape.user().urgency(random);
-      int tokens = shape.user().tokens(random, urgency);
+      Urgency urgency = config.user().urgency(random);
+      int tokens = config.user().tokens(random, urgency);
       long deadline = (long) now + User.waitMs(urgency);
       arrivals.add(
           new Arrival(
@@ -58,7 +61,7 @@
     }
   }
 
-  /** Draws adapters by Zipf's law. */
+  /** Zipf distribution over adapters. */
   private static final class Popularity {
     private final List<AdapterVersion> byRank = new ArrayList<>();
     private final double[] cumulative;
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/package-info.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Compares placement policies on the same arrivals in virtual time. */
+/** Simulation that compares placement policies on the same arrivals in virtual time. */
 package io.sequoiapass.testbed.policy;
--- a/testbed/src/test/java/io/sequoiapass/testbed/policy/PolicyBenchTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/policy/PolicyBenchTest.java
@@ -7,16 +7,17 @@
 
 class PolicyBenchTest {
 
-  private static final Shape SMALL = new Shape(User.YARDS, 1.2, 300, 4, 8, 3, 4, 2, 4, 60);
+  private static final SimulationConfig SMALL =
+      new SimulationConfig(User.YARDS, 1.2, 300, 4, 8, 3, 4, 2, 4, 60);
 
   @Test
-  void theSameSeedGivesTheSameScore() {
+  void isDeterministicForASeed() {
     assertThat(stall(Policies.ADAPTIVE, Scenario.FLIP))
         .isEqualTo(stall(Policies.ADAPTIVE, Scenario.FLIP));
   }
 
   @Test
-  void everyPolicyKeepsTheEnginesRulesInEveryScenario() {
+  void everyPolicyRespectsEngineConstraintsInEveryScenario() {
     for (Scenario scenario : Scenario.values()) {
       for (Policies policy : Policies.values()) {
         assertThat(stall(policy, scenario)).as(policy + " " + scenario).isPositive();
@@ -25,7 +26,7 @@
   }
 
   @Test
-  void loadsAtTheSameTimeShareTheStore() {
+  void concurrentLoadsShareTheWeightStore() {
     Engine engine =
         new Engine(new io.sequoiapass.coordination.EndpointId("e"), Workload.MAIN, 0, SMALL);
     WeightStore store = new WeightStore();
@@ -38,7 +39,7 @@
   }
 
   @Test
-  void aWrongFlagIsRefused() {
+  void rejectsInvalidFlags() {
     assertThat(PolicyBench.run(new String[] {"--slots", "0"})).isEqualTo(2);
     assertThat(PolicyBench.run(new String[] {"--scenario", "none"})).isEqualTo(2);
   }
