--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/AdaptivePolicy.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/AdaptivePolicy.java
@@ -17,7 +17,7 @@
 /** The daemon's router and placement; entries route by hints that are updated with a delay. */
 final class AdaptivePolicy implements Policy {
 
-  /** Interval at which entries receive the owners' hints. */
+  /** Interval between updates of an entry's hints, which is also their maximum age. */
   private static final double HINT_INTERVAL_MS = 250;
 
   private static final long REPORT_INTERVAL_MS = 50;
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Simulation.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Simulation.java
@@ -20,8 +20,8 @@
 import java.util.Set;
 
 /**
- * Discrete-event simulation of one workload under one policy. Throws an exception if the policy
- * violates a constraint of an engine.
+ * Discrete-event simulation, in virtual time, of one workload under one policy. Throws an exception
+ * if the policy violates a constraint of an engine.
  */
 final class Simulation {
 
--- a/testbed/src/test/java/io/sequoiapass/testbed/load/FaultsUnderLoadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/load/FaultsUnderLoadTest.java
@@ -49,7 +49,7 @@
     cluster.close();
   }
 
-  /** Waits until a number of requests have been sent. */
+  /** Waits until a number of requests have been sent; the duration of the load bounds the wait. */
   private void awaitSent(int requests) throws InterruptedException {
     for (int poll = 0; poll < LIMIT_MS && tool.sent() < requests; poll++) {
       Thread.sleep(1);
