--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationFailureTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What callers and operators see of changes to the configuration while things fail. */
+/** Verifies what callers and operators see of configuration changes during failures. */
 class ConfigurationFailureTest {
 
   private static final long LIMIT_MS = 20_000;
@@ -39,19 +39,20 @@
     return cluster;
   }
 
-  // A daemon is replaced while the platform is out and comes up with what it could find. A caller
-  // must not get the version before the one in force: the daemon learns what its peers have before
-  // it is ready. Nor may a caller wait out the outage: the ownership table still names the process
-  // before, so the daemon serves what is resident on its endpoints and gives them no order.
+  // A daemon is replaced during a platform outage and starts with stale or missing configuration. A
+  // caller must not get the version before the one in force, so the daemon synchronizes with its
+  // peers before it is ready. Callers must not wait for the end of the outage either: the ownership
+  // table still names the previous incarnation, so the daemon serves the resident adapters of its
+  // endpoints and sends them no orders.
   @Test
-  void aDaemonThatStartsDuringAnOutageHasWhatItsPeersHave() throws Exception {
+  void aDaemonStartedDuringAnOutageHasTheConfigurationOfItsPeers() throws Exception {
     try (Cluster cluster = cluster(1)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       List<String> versions = List.of("v1", ClusterNames.CURRENT_VERSION);
       ObjectValues.Adapter changed = new ObjectValues.Adapter(ClusterNames.MODEL, "v1", versions);
       cluster.objects().put("adapter", ClusterNames.adapter(0), changed);
       DaemonNode daemon = cluster.daemon("d1");
-      probe.await("applied everywhere", PROPAGATION_MS, () -> allAnswer(cluster, "v1"));
+      probe.await("applied everywhere", PROPAGATION_MS, () -> allAnswerWith(cluster, "v1"));
       cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
 
       daemon.process().kill();
@@ -61,20 +62,20 @@
       assertThat(probe.statusField(daemon, "revision"))
           .isEqualTo(probe.statusField(cluster.daemon("d2"), "revision"));
       assertThat(probe.statusField(daemon, "preset")).isEqualTo("ORDINARY");
-      probe.await("answers", LIMIT_MS, () -> answers(cluster, daemon, "v1"));
+      probe.await("answers", LIMIT_MS, () -> answersWith(cluster, daemon, "v1"));
     }
   }
 
-  private static boolean allAnswer(Cluster cluster, String version) throws Exception {
+  private static boolean allAnswerWith(Cluster cluster, String version) throws Exception {
     for (DaemonNode daemon : cluster.daemons()) {
-      if (!answers(cluster, daemon, version)) {
+      if (!answersWith(cluster, daemon, version)) {
         return false;
       }
     }
     return true;
   }
 
-  private static boolean answers(Cluster cluster, DaemonNode daemon, String version)
+  private static boolean answersWith(Cluster cluster, DaemonNode daemon, String version)
       throws Exception {
     String body =
         "{\"model\":\"%s\",\"prompt\":\"probe\",\"max_tokens\":1}"
@@ -84,17 +85,19 @@
     return answer.ok() && version.equals(answer.headers().get("Adapter-Version"));
   }
 
-  // Two operators change the preset at the same moment, each on the version that both saw. One is
-  // told that it was overtaken, and every daemon ends up with the other's.
+  // Two operators change the preset concurrently, both on the basis of the same version. One gets a
+  // conflict, and every daemon ends up with the other's preset.
   @Test
-  void ofTwoRacingPresetsExactlyOneIsInForceEverywhere() throws Exception {
+  void exactlyOneOfTwoConcurrentPresetsIsInForceEverywhere() throws Exception {
     try (Cluster cluster = cluster(1)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       InetSocketAddress platform = cluster.platformAddress();
       HttpCall read = HttpCall.to(platform, "GET", "/v1/objects/preset/current");
-      String seen = cluster.http().read(read, JsonObject.class).get("version").getAsString();
-      CompletableFuture<Integer> peak = change(cluster, "PEAK", seen);
-      CompletableFuture<Integer> maintenance = change(cluster, "MAINTENANCE", seen);
+      String expectedVersion =
+          cluster.http().read(read, JsonObject.class).get("version").getAsString();
+      CompletableFuture<Integer> peak = changePreset(cluster, "PEAK", expectedVersion);
+      CompletableFuture<Integer> maintenance =
+          changePreset(cluster, "MAINTENANCE", expectedVersion);
 
       assertThat(List.of(peak.get(), maintenance.get())).containsExactlyInAnyOrder(200, 409);
       String winner = peak.get() == 200 ? "PEAK" : "MAINTENANCE";
@@ -107,10 +110,11 @@
     }
   }
 
-  private static CompletableFuture<Integer> change(Cluster cluster, String preset, String seen) {
+  private static CompletableFuture<Integer> changePreset(
+      Cluster cluster, String preset, String expectedVersion) {
     HttpCall call =
         HttpCall.to(cluster.platformAddress(), "PUT", "/v1/objects/preset/current")
-            .header("If-Match", seen)
+            .header("If-Match", expectedVersion)
             .header("Operation-Id", "race-" + preset)
             .body("{\"preset\":\"%s\",\"effective_at\":0}".formatted(preset));
     return CompletableFuture.supplyAsync(
@@ -123,25 +127,25 @@
         });
   }
 
-  // An operator takes an endpoint out of service before maintenance of its host; work that still
-  // begins there is cut off with the host. 2 s after the change nothing new begins there, while all
-  // answers stay whole; taken back, it works again.
+  // An operator takes an endpoint out of service before maintenance of its host; requests that
+  // still start there are cut off with the host. From 2 s after the change no request starts there,
+  // and all answers stay complete. Once reactivated, the endpoint accepts requests again.
   @Test
-  void aLeavingEndpointGetsNoNewWorkAndComesBack() throws Exception {
+  void aLeavingEndpointGetsNoNewWorkUntilReactivated() throws Exception {
     try (Cluster cluster = cluster(2)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       try (LoadTool tool =
           LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())) {
         tool.start(new LoadPlan(9, 40, 4, 0, 10, 0, 0, 0, 8).requests());
-        probe.await("e1 works", LIMIT_MS, () -> probe.judged("e1", "accepted") > 0);
+        probe.await("e1 works", LIMIT_MS, () -> probe.auditCounter("e1", "accepted") > 0);
         long start = System.nanoTime();
         setState(cluster, "LEAVING");
-        probe.await("2 s", LIMIT_MS, () -> passedMs(start) >= 2_000);
-        long after = probe.judged("e1", "accepted");
-        probe.await("2 s more", LIMIT_MS, () -> passedMs(start) >= 4_000);
-        assertThat(probe.judged("e1", "accepted")).as("accepted after 2 s").isEqualTo(after);
+        probe.await("2 s", LIMIT_MS, () -> elapsedMs(start) >= 2_000);
+        long after = probe.auditCounter("e1", "accepted");
+        probe.await("2 s more", LIMIT_MS, () -> elapsedMs(start) >= 4_000);
+        assertThat(probe.auditCounter("e1", "accepted")).as("accepted after 2 s").isEqualTo(after);
         setState(cluster, "ACTIVE");
-        probe.await("e1 works again", LIMIT_MS, () -> probe.judged("e1", "accepted") > after);
+        probe.await("e1 works again", LIMIT_MS, () -> probe.auditCounter("e1", "accepted") > after);
 
         LoadReport report = Judgement.of(cluster).apply(tool.await(LIMIT_MS));
         assertThat(report.reasons(5)).isEmpty();
@@ -150,7 +154,7 @@
     }
   }
 
-  private static long passedMs(long start) {
+  private static long elapsedMs(long start) {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
   }
 
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationProcessTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationProcessTest.java
@@ -25,7 +25,10 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Accepted changes under cuts, pauses and restarts: in force in time, and never back. */
+/**
+ * Verifies that accepted configuration changes take effect in time and are never reverted, despite
+ * network cuts, pauses and restarts.
+ */
 class ConfigurationProcessTest {
 
   private static final long LIMIT_MS = 20_000;
@@ -66,7 +69,7 @@
     cluster.objects().put("adapter", ClusterNames.adapter(0), changed);
   }
 
-  private static boolean answers(Cluster cluster, DaemonNode daemon, String version)
+  private static boolean answersWith(Cluster cluster, DaemonNode daemon, String version)
       throws Exception {
     String body =
         "{\"model\":\"%s\",\"prompt\":\"probe\",\"max_tokens\":1}"
@@ -76,12 +79,13 @@
     return answer.ok() && version.equals(answer.headers().get("Adapter-Version"));
   }
 
-  private static void awaitAll(OwnershipProbe probe, Cluster cluster, String version)
+  private static void awaitVersion(OwnershipProbe probe, Cluster cluster, String version)
       throws Exception {
     long start = System.nanoTime();
     for (DaemonNode daemon : cluster.daemons()) {
       long left = PROPAGATION_MS - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
-      probe.await(version + " at " + daemon.id(), left, () -> answers(cluster, daemon, version));
+      probe.await(
+          version + " at " + daemon.id(), left, () -> answersWith(cluster, daemon, version));
     }
   }
 
@@ -89,8 +93,8 @@
   class Versions {
 
     // Both watchers of the data centre lose the platform, one by a closed and one by a silent
-    // connection; their peers do not. A caller must get the changed version within 4 s of the
-    // change all the same: the others notice, and two of them watch in their place.
+    // connection; their peers still reach it. Callers must get the changed version within 4 s all
+    // the same: the other daemons detect the loss, and two of them take over as watchers.
     @Test
     void aChangeIsInForceThoughBothWatchersAreCutOff() throws Exception {
       try (Cluster cluster = cluster(4, NORTH)) {
@@ -101,15 +105,15 @@
 
         putVersion(cluster, "v1");
 
-        awaitAll(probe, cluster, "v1");
+        awaitVersion(probe, cluster, "v1");
       }
     }
 
-    // A daemon is paused, the adapter's version changes, and the daemon wakes with the old one. It
-    // must neither serve the old version for long nor bring it back to its peers, which it pushes
-    // to and compares digests with.
+    // A daemon is paused, the adapter's version changes, and the daemon resumes with the old one.
+    // It must neither serve the old version for long nor restore it at its peers, to which it
+    // pushes objects and with which it compares digests.
     @Test
-    void aDaemonThatWakesBringsNoOldVersionBack() throws Exception {
+    void aResumedDaemonRestoresNoOldVersion() throws Exception {
       try (Cluster cluster = cluster(3, NORTH)) {
         OwnershipProbe probe = new OwnershipProbe(cluster);
         DaemonNode paused = cluster.daemon(watchers(cluster, NORTH).get(0));
@@ -125,17 +129,21 @@
               () -> applied(cluster, daemon).contains(changed));
         }
         paused.process().resume();
-        probe.await("v1 at the woken one", PROPAGATION_MS, () -> answers(cluster, paused, "v1"));
+        probe.await(
+            "v1 at the resumed daemon", PROPAGATION_MS, () -> answersWith(cluster, paused, "v1"));
         for (DaemonNode daemon : cluster.daemons()) {
-          assertThat(appliedBackwards(cluster, daemon)).as("went back at " + daemon.id()).isEmpty();
-          assertThat(answers(cluster, daemon, "v1")).isTrue();
+          assertThat(versionRegressions(cluster, daemon))
+              .as("older version applied at " + daemon.id())
+              .isEmpty();
+          assertThat(answersWith(cluster, daemon, "v1")).isTrue();
         }
       }
     }
 
-    // A peer that was away for long pushes the version that it still has, after the change is in
-    // force. A caller must not get the old version again. What follows the push on the same
-    // connection, the end of an adapter that never was, shows that the push was read.
+    // A peer that was disconnected for long pushes its old version after the change is in force.
+    // Callers must not get the old version again. The push is followed on the same connection by
+    // the deletion of an adapter that never existed, whose application shows that the push was
+    // read.
     @Test
     void aStalePeerThatPushesAnOldVersionChangesNothing() throws Exception {
       try (Cluster cluster = cluster(3, NORTH)) {
@@ -143,19 +151,20 @@
         DaemonNode daemon = cluster.daemon("d1");
         String old = adapter(cluster);
         putVersion(cluster, "v1");
-        awaitAll(probe, cluster, "v1");
+        awaitVersion(probe, cluster, "v1");
         long version = versionOf(adapter(cluster));
-        String mark = "{\"kind\":\"adapter\",\"name\":\"mark\",\"version\":%d}".formatted(version);
+        String marker =
+            "{\"kind\":\"adapter\",\"name\":\"mark\",\"version\":%d}".formatted(version);
 
         try (StalePeer peer = StalePeer.connect(daemon.peers(), "d3", NORTH)) {
           peer.push(old);
-          peer.push(mark);
+          peer.push(marker);
           probe.await(
               "read", LIMIT_MS, () -> applied(cluster, daemon).contains("adapter/mark@" + version));
         }
 
-        assertThat(appliedBackwards(cluster, daemon)).isEmpty();
-        assertThat(answers(cluster, daemon, "v1")).isTrue();
+        assertThat(versionRegressions(cluster, daemon)).isEmpty();
+        assertThat(answersWith(cluster, daemon, "v1")).isTrue();
       }
     }
 
@@ -168,9 +177,9 @@
       return cluster.http().send(HttpCall.to(cluster.platformAddress(), "GET", path)).text();
     }
 
-    // An operator's change takes effect and its answer is lost. The operator's tool sends it again
-    // with the same operation id, meets a conflict with its own change and takes that for success;
-    // nothing is applied twice, and no daemon goes back.
+    // An operator's change takes effect, but its answer is lost. The operator's tool sends it again
+    // with the same operation id, gets a conflict with its own change and treats that as success.
+    // The change is applied once, and no daemon reverts to an older version.
     @Test
     void aChangeWhoseAnswerIsLostIsAppliedOnce() throws Exception {
       try (Cluster cluster = cluster(3, NORTH)) {
@@ -195,9 +204,9 @@
 
         assertThat(again.status()).isEqualTo(409);
         assertThat(again.text()).contains("change-1");
-        awaitAll(probe, cluster, "v1");
+        awaitVersion(probe, cluster, "v1");
         for (DaemonNode daemon : cluster.daemons()) {
-          assertThat(appliedBackwards(cluster, daemon)).isEmpty();
+          assertThat(versionRegressions(cluster, daemon)).isEmpty();
         }
       }
     }
@@ -212,7 +221,9 @@
     }
   }
 
-  /** Returns what a daemon's time line shows as applied, as kind/name@version, in order. */
+  /**
+   * Returns the objects applied according to a daemon's timeline, as kind/name@version, in order.
+   */
   private static List<String> applied(Cluster cluster, DaemonNode daemon) throws Exception {
     String path = "/timeline?kind=CONFIGURATION_APPLIED&limit=10000";
     JsonObject line =
@@ -228,20 +239,20 @@
     return applied;
   }
 
-  /** Returns the objects of which an older version was applied after a newer one. */
-  private static List<String> appliedBackwards(Cluster cluster, DaemonNode daemon)
+  /** Returns the objects of which the same or an older version was applied after a newer one. */
+  private static List<String> versionRegressions(Cluster cluster, DaemonNode daemon)
       throws Exception {
     Map<String, Long> newest = new HashMap<>();
-    List<String> backwards = new ArrayList<>();
+    List<String> regressions = new ArrayList<>();
     for (String word : applied(cluster, daemon)) {
       int at = word.indexOf('@');
       long version = Long.parseLong(word.substring(at + 1));
       Long before = newest.put(word.substring(0, at), version);
       if (before != null && before >= version) {
-        backwards.add(word);
+        regressions.add(word);
       }
     }
-    return backwards;
+    return regressions;
   }
 
   @Nested
@@ -251,7 +262,7 @@
       cluster.objects().put("preset", "current", new ObjectValues.Preset(preset, effectiveAt));
     }
 
-    private void cutOff(Cluster cluster, String dataCentre, ProxyFault fault) {
+    private void setDataCentreFault(Cluster cluster, String dataCentre, ProxyFault fault) {
       for (DaemonNode inside : cluster.daemons()) {
         if (!inside.dataCentre().equals(dataCentre)) {
           continue;
@@ -266,26 +277,27 @@
       }
     }
 
-    // A data centre is cut off between the acceptance of a preset and its moment. It knew of the
-    // change, so the preset comes into force there at the same moment as everywhere. Of the next
-    // change it cannot know: it keeps the one it has, and takes the new one once it is back.
+    // A data centre is cut off after a preset is accepted and before it takes effect. Its daemons
+    // already hold the change, so the preset takes effect there at the same time as everywhere
+    // else. The next change cannot reach them: they keep the current preset and apply the new one
+    // once the connection is restored.
     @Test
-    void aDataCentreCutOffBeforeTheMomentOfAPresetChangesWithTheOthers() throws Exception {
+    void aDataCentreCutOffBeforeAPresetTakesEffectChangesWithTheOthers() throws Exception {
       try (Cluster cluster = cluster(2, NORTH, SOUTH)) {
         OwnershipProbe probe = new OwnershipProbe(cluster);
-        long moment = WALL.millis() + 3_000;
-        putPreset(cluster, "PEAK", moment);
-        probe.await("known everywhere", 2_500, () -> isSameRevision(cluster, probe));
-        cutOff(cluster, SOUTH, ProxyFault.cut());
-        assertThat(WALL.millis()).as("cut before the moment").isLessThan(moment);
+        long effectiveTime = WALL.millis() + 3_000;
+        putPreset(cluster, "PEAK", effectiveTime);
+        probe.await("known everywhere", 2_500, () -> allHaveCurrentRevision(cluster, probe));
+        setDataCentreFault(cluster, SOUTH, ProxyFault.cut());
+        assertThat(WALL.millis()).as("cut before the effective time").isLessThan(effectiveTime);
         for (DaemonNode daemon : cluster.daemons()) {
           probe.await(
               "PEAK at " + daemon.id(),
               PROPAGATION_MS,
-              () -> inForceAt(cluster, daemon, "PEAK") > 0);
-          assertThat(inForceAt(cluster, daemon, "PEAK"))
-              .as("moment at " + daemon.id())
-              .isBetween(moment, moment + 1_000);
+              () -> effectiveTimeAt(cluster, daemon, "PEAK") > 0);
+          assertThat(effectiveTimeAt(cluster, daemon, "PEAK"))
+              .as("effective time at " + daemon.id())
+              .isBetween(effectiveTime, effectiveTime + 1_000);
         }
 
         putPreset(cluster, "MAINTENANCE", 0);
@@ -296,7 +308,7 @@
             PROPAGATION_MS,
             () -> probe.statusField(north, "preset").equals("MAINTENANCE"));
         assertThat(probe.statusField(south, "preset")).isEqualTo("PEAK");
-        cutOff(cluster, SOUTH, ProxyFault.none());
+        setDataCentreFault(cluster, SOUTH, ProxyFault.none());
         probe.await(
             "MAINTENANCE in the south",
             LIMIT_MS,
@@ -304,29 +316,30 @@
       }
     }
 
-    // MAINTENANCE is in force, PEAK is to come, and a daemon is killed and restarted in between. It
-    // learns of PEAK only, and of no preset before. It must not serve with a third one, ORDINARY,
-    // which nobody else has: it shows readiness only from the moment on, with PEAK.
+    // MAINTENANCE is in force and PEAK is scheduled when a daemon is killed and restarted. It
+    // receives PEAK only, and no earlier preset. It must not serve with the default, ORDINARY,
+    // which no other daemon has, so it is ready only from the time at which PEAK takes effect.
     @Test
-    void aDaemonRestartedBeforeTheMomentOfChangeServesWithNoOtherPreset() throws Exception {
+    void aDaemonRestartedBeforeAPresetTakesEffectServesWithNoOtherPreset() throws Exception {
       try (Cluster cluster = cluster(3, NORTH)) {
         OwnershipProbe probe = new OwnershipProbe(cluster);
         DaemonNode restarted = cluster.daemon("d2");
         putPreset(cluster, "MAINTENANCE", 0);
-        allHave(probe, cluster, "MAINTENANCE");
-        long moment = WALL.millis() + 8_000;
-        putPreset(cluster, "PEAK", moment);
+        awaitPreset(probe, cluster, "MAINTENANCE");
+        long effectiveTime = WALL.millis() + 8_000;
+        putPreset(cluster, "PEAK", effectiveTime);
         restarted.process().kill();
         cluster.restart(restarted);
         probe.await("ready", LIMIT_MS, () -> probe.ready(restarted));
 
-        assertThat(WALL.millis()).as("ready at").isGreaterThanOrEqualTo(moment);
+        assertThat(WALL.millis()).as("ready at").isGreaterThanOrEqualTo(effectiveTime);
         assertThat(probe.statusField(restarted, "preset")).isEqualTo("PEAK");
-        allHave(probe, cluster, "PEAK");
+        awaitPreset(probe, cluster, "PEAK");
       }
     }
 
-    private void allHave(OwnershipProbe probe, Cluster cluster, String preset) throws Exception {
+    private void awaitPreset(OwnershipProbe probe, Cluster cluster, String preset)
+        throws Exception {
       for (DaemonNode daemon : cluster.daemons()) {
         probe.await(
             preset + " at " + daemon.id(),
@@ -335,7 +348,7 @@
       }
     }
 
-    private boolean isSameRevision(Cluster cluster, OwnershipProbe probe) throws Exception {
+    private boolean allHaveCurrentRevision(Cluster cluster, OwnershipProbe probe) throws Exception {
       String path = "/v1/objects/preset/current";
       String version =
           cluster
@@ -351,8 +364,12 @@
       return true;
     }
 
-    /** Returns when a preset came into force at a daemon, by its time line; 0 if it never did. */
-    private long inForceAt(Cluster cluster, DaemonNode daemon, String preset) throws Exception {
+    /**
+     * Returns the wall-clock time in milliseconds at which a preset took effect at a daemon,
+     * according to its timeline, or 0 if it never did.
+     */
+    private long effectiveTimeAt(Cluster cluster, DaemonNode daemon, String preset)
+        throws Exception {
       HttpCall call = HttpCall.to(daemon.operators(), "GET", "/timeline?kind=PRESET_IN_FORCE");
       JsonObject line = cluster.http().read(call, JsonObject.class);
       for (JsonElement event : line.getAsJsonArray("events")) {
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/HostListFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/HostListFailureTest.java
@@ -19,21 +19,21 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What callers see while the platform's host list says that hosts leave. */
+/** Verifies what callers see while the platform's host list reports hosts as leaving. */
 class HostListFailureTest {
 
   private static final long LIMIT_MS = 20_000;
 
-  /** Two waits of {@link #LIMIT_MS} and the time in which there must be no new work. */
+  /** Two waits of {@link #LIMIT_MS} plus the period without new work. */
   private static final int LOAD_S = 48;
 
-  /** The longest load and its last answers. */
+  /** The longest load, including its last answers. */
   private static final long LOAD_LIMIT_MS = 1_000 * LOAD_S + LIMIT_MS;
 
-  /** From the list saying so until no new work begins. */
-  private static final long BOUND_MS = 4_000;
+  /** Time from the change of the list until no new request starts. */
+  private static final long REACTION_LIMIT_MS = 4_000;
 
-  private static final long WATCH_MS = 2_000;
+  private static final long OBSERVATION_MS = 2_000;
 
   private static Cluster cluster(int daemons) throws Exception {
     Cluster cluster =
@@ -50,60 +50,63 @@
     return cluster;
   }
 
-  // The platform drains a host for repairs and takes it away some seconds later. Only its host list
-  // says so; the configuration still has the endpoint as active. A request that begins there after
-  // that is cut off with the host, so within 4 s of the list saying so nothing new begins, while
-  // the streams in flight end whole. Listed as live again, the endpoint works again.
+  // The platform drains a host for repairs and removes it some seconds later. Only its host list
+  // shows this; the configuration still has the endpoint as active. A request that starts after the
+  // removal is cut off with the host, so no request may start later than 4 s after the list
+  // changes, while streams in flight complete. Listed as live again, the endpoint accepts requests
+  // again.
   @Test
   void anEndpointOnAHostThatLeavesGetsNoNewWorkAndComesBack() throws Exception {
     try (Cluster cluster = cluster(3)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       try (LoadTool tool = tool(cluster)) {
-        // The load has to outlast both waits below, or the second one waits for work that never
-        // comes.
+        // The load has to outlast both waits below, or the second one waits for requests that are
+        // never sent.
         tool.start(new LoadPlan(LOAD_S, 40, 4, 0, 60, 0, 0, 0, 8).requests());
-        probe.await("e1 works", LIMIT_MS, () -> probe.judged("e1", "accepted") > 0);
+        probe.await("e1 works", LIMIT_MS, () -> probe.auditCounter("e1", "accepted") > 0);
         putHosts(cluster, "LEAVING");
-        long after = noNewWorkAfter(probe, BOUND_MS);
-        assertThat(probe.judged("e2", "accepted")).as("e2 goes on").isPositive();
+        long after = assertNoNewWorkAfter(probe, REACTION_LIMIT_MS);
+        assertThat(probe.auditCounter("e2", "accepted")).as("e2 still accepts").isPositive();
         putHosts(cluster, "LIVE");
-        probe.await("e1 works again", LIMIT_MS, () -> probe.judged("e1", "accepted") > after);
-        allWhole(cluster, tool);
+        probe.await("e1 works again", LIMIT_MS, () -> probe.auditCounter("e1", "accepted") > after);
+        assertAllComplete(cluster, tool);
       }
     }
   }
 
-  // The same, but the list flaps from one reading to the next, and the owner of the endpoint is cut
-  // off from the platform while its peers are not. The owner hears of it from them, and a list that
-  // shows the host as live now and then brings nothing back.
+  // As above, but the list flaps between readings, and the endpoint's owner is cut off from the
+  // platform while its peers are not. The owner receives the list from its peers, and a list that
+  // intermittently shows the host as live does not reactivate the endpoint.
   @Test
-  void aFlappingListAndAnOwnerWithoutPlatformChangeNothing() throws Exception {
+  void aFlappingListAndAnOwnerCutOffFromThePlatformAllowNoNewWork() throws Exception {
     try (Cluster cluster = cluster(3)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       try (LoadTool tool = tool(cluster)) {
         tool.start(new LoadPlan(11, 40, 4, 0, 20, 0, 0, 0, 8).requests());
-        probe.await("e1 works", LIMIT_MS, () -> probe.judged("e1", "accepted") > 0);
+        probe.await("e1 works", LIMIT_MS, () -> probe.auditCounter("e1", "accepted") > 0);
         String owner = probe.owner("e1", "yard-north");
         cluster.proxies().toPlatform(owner).set(ProxyFault.cut());
         long start = System.nanoTime();
         putHosts(cluster, "LEAVING");
-        probe.await("the bound", LIMIT_MS, () -> passedMs(start) >= BOUND_MS);
-        long after = probe.judged("e1", "accepted");
+        probe.await("the reaction limit", LIMIT_MS, () -> elapsedMs(start) >= REACTION_LIMIT_MS);
+        long after = probe.auditCounter("e1", "accepted");
         for (int i = 0; i < 4; i++) {
           putHosts(cluster, i % 2 == 0 ? "LIVE" : "LEAVING");
           long flip = System.nanoTime();
-          probe.await("a reading", LIMIT_MS, () -> passedMs(flip) >= 1_000);
+          probe.await("a reading", LIMIT_MS, () -> elapsedMs(flip) >= 1_000);
         }
-        assertThat(probe.judged("e1", "accepted")).as("accepted after the bound").isEqualTo(after);
-        allWhole(cluster, tool);
+        assertThat(probe.auditCounter("e1", "accepted"))
+            .as("accepted after the reaction limit")
+            .isEqualTo(after);
+        assertAllComplete(cluster, tool);
       }
     }
   }
 
-  // The configuration says that an endpoint leaves, the host list says that its host lives, as it
-  // does whenever only the endpoint is to be taken out. The list must not bring it back.
+  // The configuration has an endpoint as leaving while the host list has its host as live, which is
+  // the case whenever only the endpoint is taken out of service. The list must not reactivate it.
   @Test
-  void theListRevivesNothingThatTheConfigurationTakesOut() throws Exception {
+  void theHostListReactivatesNoEndpointThatLeavesByConfiguration() throws Exception {
     try (Cluster cluster = cluster(2)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       JsonObject endpoint = cluster.objects().value("endpoint", "e1");
@@ -113,33 +116,33 @@
       try (LoadTool tool = tool(cluster)) {
         tool.start(new LoadPlan(9, 20, 4, 0, 10, 0, 0, 0, 8).requests());
         long start = System.nanoTime();
-        probe.await("drained", LIMIT_MS, () -> passedMs(start) >= 2_000);
-        long after = probe.judged("e1", "accepted");
+        probe.await("drained", LIMIT_MS, () -> elapsedMs(start) >= 2_000);
+        long after = probe.auditCounter("e1", "accepted");
         putHosts(cluster, "LIVE");
-        probe.await("time to come back", LIMIT_MS, () -> passedMs(start) >= 8_000);
-        assertThat(probe.judged("e1", "accepted")).isEqualTo(after);
-        allWhole(cluster, tool);
+        probe.await("time to reactivate", LIMIT_MS, () -> elapsedMs(start) >= 8_000);
+        assertThat(probe.auditCounter("e1", "accepted")).isEqualTo(after);
+        assertAllComplete(cluster, tool);
       }
     }
   }
 
-  // 400 daemons that each read the list once a second would take a fifth of the platform's reads:
-  // only the two watchers of a data centre read it.
+  // 400 daemons that each read the list once a second would take a fifth of the platform's reads,
+  // so only the two watchers of a data centre read it.
   @Test
-  void onlyTheWatchersReadTheList() throws Exception {
+  void onlyTheWatchersReadTheHostList() throws Exception {
     try (Cluster cluster = cluster(4)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       long before = hostCalls(cluster);
       long start = System.nanoTime();
-      probe.await("some readings", LIMIT_MS, () -> passedMs(start) >= 5_000);
+      probe.await("some readings", LIMIT_MS, () -> elapsedMs(start) >= 5_000);
       long calls = hostCalls(cluster) - before;
-      assertThat(calls).isBetween(4L, 2 * passedMs(start) / 1_000 + 2);
+      assertThat(calls).isBetween(4L, 2 * elapsedMs(start) / 1_000 + 2);
     }
   }
 
   private static long hostCalls(Cluster cluster) throws Exception {
-    HttpCall judge = HttpCall.to(cluster.platformAddress(), "GET", "/judge");
-    JsonObject calls = cluster.http().read(judge, JsonObject.class).getAsJsonObject("calls");
+    HttpCall call = HttpCall.to(cluster.platformAddress(), "GET", "/judge");
+    JsonObject calls = cluster.http().read(call, JsonObject.class).getAsJsonObject("calls");
     return calls.has("HOSTS") ? calls.get("HOSTS").getAsLong() : 0;
   }
 
@@ -147,26 +150,30 @@
     return LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList());
   }
 
-  private static long noNewWorkAfter(OwnershipProbe probe, long boundMs) throws Exception {
+  private static long assertNoNewWorkAfter(OwnershipProbe probe, long limitMs) throws Exception {
     long start = System.nanoTime();
-    probe.await("the bound", LIMIT_MS, () -> passedMs(start) >= boundMs);
-    long after = probe.judged("e1", "accepted");
-    probe.await("a while", LIMIT_MS, () -> passedMs(start) >= boundMs + WATCH_MS);
-    assertThat(probe.judged("e1", "accepted")).as("accepted after the bound").isEqualTo(after);
+    probe.await("the reaction limit", LIMIT_MS, () -> elapsedMs(start) >= limitMs);
+    long after = probe.auditCounter("e1", "accepted");
+    probe.await("observation period", LIMIT_MS, () -> elapsedMs(start) >= limitMs + OBSERVATION_MS);
+    assertThat(probe.auditCounter("e1", "accepted"))
+        .as("accepted after the reaction limit")
+        .isEqualTo(after);
     return after;
   }
 
-  private static void allWhole(Cluster cluster, LoadTool tool) throws Exception {
+  private static void assertAllComplete(Cluster cluster, LoadTool tool) throws Exception {
     LoadReport report = Judgement.of(cluster).apply(tool.await(LOAD_LIMIT_MS));
     assertThat(report.reasons(5)).isEmpty();
     assertThat(report.count(Verdict.WHOLE)).isEqualTo(report.sent());
   }
 
-  private static long passedMs(long start) {
+  private static long elapsedMs(long start) {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
   }
 
-  /** Writes the host list with one state for the host of e1. */
+  /**
+   * Writes the host list with the given state for the host of e1 and {@code LIVE} for all others.
+   */
   private static void putHosts(Cluster cluster, String stateOfFirst) throws Exception {
     List<ObjectValues.Host> hosts = new ArrayList<>();
     for (DaemonNode daemon : cluster.daemons()) {
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/KeyedCalls.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/KeyedCalls.java
@@ -9,10 +9,10 @@
 import java.net.http.HttpResponse;
 import java.util.concurrent.TimeUnit;
 
-/** Sends payment slips with idempotency keys, and counts what the services ran. */
+/** Sends payment slips with idempotency keys and counts the runs at the services. */
 final class KeyedCalls {
 
-  private static final long LOOK_MS = 50;
+  private static final long RETRY_INTERVAL_MS = 50;
 
   private final Cluster cluster;
 
@@ -20,7 +20,7 @@
     this.cluster = cluster;
   }
 
-  HttpResponse<String> slip(String daemon, String key, String body)
+  HttpResponse<String> sendSlip(String daemon, String key, String body)
       throws IOException, InterruptedException {
     return new HttpProbe(cluster.daemon(daemon).callers())
         .call(
@@ -33,26 +33,27 @@
             "8000");
   }
 
-  /** Sends a slip again while its key's record cannot be asked. */
-  HttpResponse<String> slipOnceAsked(String daemon, String key, String body, long limitMs)
+  /** Sends a slip, and sends it again while the record of its key is unavailable. */
+  HttpResponse<String> sendSlipUntilLedgerAvailable(
+      String daemon, String key, String body, long limitMs)
       throws IOException, InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
-    HttpResponse<String> answer = slip(daemon, key, body);
-    while (answer.body().contains("LEDGER_UNAVAILABLE") && System.nanoTime() < until) {
-      TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-      answer = slip(daemon, key, body);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
+    HttpResponse<String> answer = sendSlip(daemon, key, body);
+    while (answer.body().contains("LEDGER_UNAVAILABLE") && System.nanoTime() < deadlineNanos) {
+      TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MS);
+      answer = sendSlip(daemon, key, body);
     }
     return answer;
   }
 
-  /** Sends a slip again while it is told that it did not run. */
-  HttpResponse<String> slipOnceTaken(String daemon, String key, String body, long limitMs)
+  /** Sends a slip, and sends it again while the outcome is NOT RUN. */
+  HttpResponse<String> sendSlipUntilRun(String daemon, String key, String body, long limitMs)
       throws IOException, InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
-    HttpResponse<String> answer = slip(daemon, key, body);
-    while (outcome(answer).equals("NOT_RUN") && System.nanoTime() < until) {
-      TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-      answer = slip(daemon, key, body);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
+    HttpResponse<String> answer = sendSlip(daemon, key, body);
+    while (outcome(answer).equals("NOT_RUN") && System.nanoTime() < deadlineNanos) {
+      TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MS);
+      answer = sendSlip(daemon, key, body);
     }
     return answer;
   }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/KeyedHomeFaultsTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/KeyedHomeFaultsTest.java
@@ -19,19 +19,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What callers of keyed slips are told while the home of their keys fails, and what then ran: never
- * a key twice, and nothing of an attempt that was told NOT RUN.
+ * Verifies that no key runs twice, and that no attempt reported as NOT RUN runs, while the primary
+ * replica of the keys fails.
  */
 class KeyedHomeFaultsTest {
 
   private static final long LIMIT_MS = 30_000;
-  private static final String HOME = "d3";
+  private static final String PRIMARY = "d3";
   private static final List<String> OTHERS = List.of("d1", "d2");
   private Cluster cluster;
   private KeyedCalls calls;
 
-  // A cluster for each test: two members that leave within the settling time would bar the keys
-  // that both held for the retention, and each test takes one away.
+  // A cluster for each test: if two members leave within the settling time, the keys that both held
+  // are excluded for the retention period, and each test removes one member.
   @BeforeEach
   void start() throws Exception {
     cluster =
@@ -45,7 +45,7 @@
             .start();
     cluster.awaitServing(LIMIT_MS);
     calls = new KeyedCalls(cluster);
-    awaitKeys("start");
+    awaitAllKeysServed("start");
   }
 
   @AfterEach
@@ -53,55 +53,58 @@
     cluster.close();
   }
 
-  /** Waits until each daemon runs slips of keys of each home. */
-  private void awaitKeys(String name) throws Exception {
-    for (String home : List.of("d1", "d2", "d3")) {
+  /** Waits until each daemon runs slips for keys of each primary. */
+  private void awaitAllKeysServed(String name) throws Exception {
+    for (String primary : List.of("d1", "d2", "d3")) {
       for (String daemon : List.of("d1", "d2", "d3")) {
-        runsOnce(daemon, keyOf(home, name + "-" + daemon));
+        assertRunsOnce(daemon, keyWithPrimary(primary, name + "-" + daemon));
       }
     }
   }
 
-  private void runsOnce(String daemon, String key) throws Exception {
-    // A home that fails may own the endpoints as well: until its lease has run out the slip is
-    // refused for want of an endpoint, as NOT RUN, not for want of its key's record only.
-    HttpResponse<String> answer = calls.slipOnceTaken(daemon, key, "pay 1", LIMIT_MS);
+  private void assertRunsOnce(String daemon, String key) throws Exception {
+    // A failed primary may own the endpoints as well: until its lease expires, the slip is refused
+    // as NOT RUN because it has no endpoint, not only because the record of its key is unavailable.
+    HttpResponse<String> answer = calls.sendSlipUntilRun(daemon, key, "pay 1", LIMIT_MS);
     assertThat(answer.statusCode())
         .as(key + " through " + daemon + ": " + answer.body())
         .isEqualTo(200);
     assertThat(calls.runs(key)).as(key).isEqualTo(1);
   }
 
-  private static String keyOf(String home, String name) {
+  private static String keyWithPrimary(String primary, String name) {
     List<DaemonId> daemons = Stream.of("d1", "d2", "d3").map(DaemonId::new).toList();
     return IntStream.range(0, 1_000)
-        .mapToObj(i -> name + "-" + home + "-" + i)
-        .filter(key -> Ranking.rendezvous().rank(key, daemons).get(0).value().equals(home))
+        .mapToObj(i -> name + "-" + primary + "-" + i)
+        .filter(key -> Ranking.rendezvous().rank(key, daemons).get(0).value().equals(primary))
         .findFirst()
         .orElseThrow();
   }
 
-  private void links(ProxyFault fromHome, ProxyFault toHome) {
+  private void setLinkFaults(ProxyFault fromPrimary, ProxyFault toPrimary) {
     ClusterProxies proxies = cluster.proxies();
-    proxies.toPlatform(HOME).set(fromHome);
+    proxies.toPlatform(PRIMARY).set(fromPrimary);
     for (String other : OTHERS) {
-      FaultProxy out = proxies.toPeer(HOME, other);
-      out.set(fromHome);
-      proxies.toPeer(other, HOME).set(toHome);
+      FaultProxy out = proxies.toPeer(PRIMARY, other);
+      out.set(fromPrimary);
+      proxies.toPeer(other, PRIMARY).set(toPrimary);
     }
   }
 
-  /** The key's home fails, and the others go on with its keys; then all is as before. */
-  private void takenOver(String name, Step fault, Step mend) throws Exception {
-    try (KeyedStorm storm = new KeyedStorm(cluster, name)) {
+  /**
+   * Fails the primary, checks that the other daemons serve its keys, and then repairs the fault and
+   * checks that every daemon serves all keys.
+   */
+  private void assertTakenOver(String name, Step fault, Step repair) throws Exception {
+    try (KeyedLoad load = new KeyedLoad(cluster, name)) {
       fault.run();
       for (String other : OTHERS) {
-        runsOnce(other, keyOf(HOME, name + "-taken-over-" + other));
+        assertRunsOnce(other, keyWithPrimary(PRIMARY, name + "-taken-over-" + other));
       }
-      mend.run();
-      awaitKeys(name + "-mended");
-      long answered = storm.answered();
-      assertThat(storm.endAndJudge()).isEmpty();
+      repair.run();
+      awaitAllKeysServed(name + "-mended");
+      long answered = load.answered();
+      assertThat(load.stopAndCheck()).isEmpty();
       assertThat(answered).as("answered slips").isPositive();
     }
   }
@@ -111,69 +114,74 @@
     void run() throws Exception;
   }
 
-  // The home reaches its callers and the services, but neither its peers nor the platform. It goes
-  // on deciding until its lease ends; the second decides after that. Were the two at it together, a
-  // slip sent through both sides would be paid twice.
+  // The primary reaches its callers and the services, but neither its peers nor the platform. It
+  // grants starts until its lease expires, and the secondary grants them only after that. If both
+  // did so at the same time, a slip sent through both sides would be paid twice.
   @Test
-  void aHomeThatIsCutOffAndItsSuccessorRunNoKeyTwice() throws Exception {
-    takenOver(
+  void anIsolatedPrimaryAndItsSuccessorRunNoKeyTwice() throws Exception {
+    assertTakenOver(
         "cut",
-        () -> links(ProxyFault.cut(), ProxyFault.cut()),
-        () -> links(ProxyFault.none(), ProxyFault.none()));
+        () -> setLinkFaults(ProxyFault.cut(), ProxyFault.cut()),
+        () -> setLinkFaults(ProxyFault.none(), ProxyFault.none()));
   }
 
-  // What the home sends arrives, and nothing comes back: the platform renews a lease of which the
-  // home never hears, peers hear heartbeats, and copies reach the second unconfirmed.
+  // Messages from the primary arrive, but none reaches it: the platform renews a lease without the
+  // primary receiving the confirmation, peers receive heartbeats, and copies reach the secondary
+  // without an acknowledgement.
   @Test
-  void aHomeThatHearsNothingRunsNoKeyTwice() throws Exception {
-    ProxyFault hearsNothing = ProxyFault.oneWayCut(Direction.FROM_TARGET);
-    ProxyFault unheard = ProxyFault.oneWayCut(Direction.TO_TARGET);
-    try (KeyedStorm storm = new KeyedStorm(cluster, "deaf")) {
-      links(hearsNothing, unheard);
-      // The platform still renews its lease as long as its writes arrive, so nobody may take over.
-      // What it does is the storm's to judge, for longer than a lease.
+  void aPrimaryThatReceivesNothingRunsNoKeyTwice() throws Exception {
+    ProxyFault cutFromTarget = ProxyFault.oneWayCut(Direction.FROM_TARGET);
+    ProxyFault cutToTarget = ProxyFault.oneWayCut(Direction.TO_TARGET);
+    try (KeyedLoad load = new KeyedLoad(cluster, "deaf")) {
+      setLinkFaults(cutFromTarget, cutToTarget);
+      // The platform renews the lease as long as the primary's writes arrive, so no other daemon
+      // may take over. The load checks the outcomes for longer than a lease.
       for (String other : OTHERS) {
-        calls.slipOnceAsked(other, keyOf(HOME, "deaf-" + other), "pay 1", 5_000);
+        calls.sendSlipUntilLedgerAvailable(
+            other, keyWithPrimary(PRIMARY, "deaf-" + other), "pay 1", 5_000);
       }
-      links(ProxyFault.none(), ProxyFault.none());
-      awaitKeys("deaf-mended");
-      assertThat(storm.endAndJudge()).isEmpty();
+      setLinkFaults(ProxyFault.none(), ProxyFault.none());
+      awaitAllKeysServed("deaf-mended");
+      assertThat(load.stopAndCheck()).isEmpty();
     }
   }
 
-  // The home's process stands still for longer than its lease; another has its keys by then. It
-  // wakes with messages to answer and with records that the successor has long changed.
+  // The primary's process is paused for longer than its lease, and another daemon takes over its
+  // keys. It resumes with unanswered messages and with records that its successor has changed
+  // since.
   @Test
-  void aHomeThatIsFrozenPastItsLeaseRunsNoKeyTwice() throws Exception {
-    DaemonNode home = cluster.daemon(HOME);
-    takenOver("frozen", () -> home.process().pause(), () -> home.process().resume());
+  void aPrimaryFrozenPastItsLeaseRunsNoKeyTwice() throws Exception {
+    DaemonNode primary = cluster.daemon(PRIMARY);
+    assertTakenOver("frozen", () -> primary.process().pause(), () -> primary.process().resume());
   }
 
-  // The home is killed, and its next process has the same name within the lease of the one before,
-  // with an empty ledger. It has to hear what the others keep before it decides.
+  // The primary is killed, and its next incarnation starts under the same name, within the lease of
+  // the previous one and with an empty ledger. It has to receive the records of the others before
+  // it grants a start.
   @Test
-  void aHomeReplacedUnderItsNameRunsNoKeyTwice() throws Exception {
-    takenOver(
+  void aPrimaryReplacedUnderItsNameRunsNoKeyTwice() throws Exception {
+    assertTakenOver(
         "replaced",
         () -> {
-          cluster.restart(cluster.daemon(HOME));
+          cluster.restart(cluster.daemon(PRIMARY));
           cluster.awaitServing(LIMIT_MS);
         },
         () -> {});
   }
 
-  // All daemons are replaced in turn by planned stops, while keys are sent again through whichever
-  // is left. Each stop moves homes and seconds; no key may fall between two of them.
+  // All daemons are replaced in turn by planned stops, while keys are sent again through the
+  // remaining ones. Each stop moves primary and secondary replicas; no key may be lost between two
+  // of them.
   @Test
   void aRollingRestartRunsNoKeyTwice() throws Exception {
-    try (KeyedStorm storm = new KeyedStorm(cluster, "rolling")) {
+    try (KeyedLoad load = new KeyedLoad(cluster, "rolling")) {
       for (DaemonNode daemon : cluster.daemons()) {
         daemon.process().stop();
         daemon.process().awaitExit(LIMIT_MS);
         cluster.restart(daemon);
         cluster.awaitServing(LIMIT_MS);
       }
-      assertThat(storm.endAndJudge()).isEmpty();
+      assertThat(load.stopAndCheck()).isEmpty();
     }
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/KeyedStorm.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/KeyedLoad.java
@@ -20,18 +20,18 @@
 import java.util.stream.Collectors;
 
 /**
- * Sends slips with the same few keys again and again through all daemons at once, and compares what
- * callers were told with what the services ran. A new key comes every {@value #NEW_KEY_MS} ms, so
- * that keys of any home are first used at any moment of a fault.
+ * Sends slips with the same few keys repeatedly through all daemons at once, and compares the
+ * reported outcomes with the runs at the services. A new key is used every {@value #NEW_KEY_MS} ms,
+ * so that keys of every primary are first used at every stage of a fault.
  */
-final class KeyedStorm implements AutoCloseable {
+final class KeyedLoad implements AutoCloseable {
 
   private static final int THREADS = 6;
   private static final int NEW_KEY_MS = 100;
   private static final int KEYS_IN_USE = 12;
-  private static final char INTERNAL_PART = '~';
+  private static final char ATTEMPT_SEPARATOR = '~';
 
-  /** How one attempt ended; {@code LOST} if its connection did. */
+  /** The outcome of one attempt; {@code LOST} if its connection was lost. */
   record Attempt(String id, String key, String outcome, String body) {}
 
   private final Cluster cluster;
@@ -39,9 +39,9 @@
   private final long startedAt = System.nanoTime();
   private final Queue<Attempt> attempts = new ConcurrentLinkedQueue<>();
   private final List<Thread> threads = new ArrayList<>();
-  private volatile boolean ends;
+  private volatile boolean stopping;
 
-  KeyedStorm(Cluster cluster, String name) {
+  KeyedLoad(Cluster cluster, String name) {
     this.cluster = cluster;
     this.name = name;
     for (int i = 0; i < THREADS; i++) {
@@ -55,7 +55,7 @@
   private void send(int thread) {
     Random random = new Random(thread);
     List<DaemonNode> daemons = cluster.daemons();
-    for (int serial = 0; !ends; serial++) {
+    for (int serial = 0; !stopping; serial++) {
       long newest = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt) / NEW_KEY_MS;
       String key = name + "-" + Math.max(0, newest - random.nextInt(KEYS_IN_USE));
       String id = name + "-" + thread + "-" + serial;
@@ -89,25 +89,25 @@
     }
   }
 
-  /** Stops sending, and returns what is wrong, a line each. */
-  List<String> endAndJudge() throws IOException, InterruptedException {
-    ends = true;
+  /** Stops sending and returns the violations found, one line each. */
+  List<String> stopAndCheck() throws IOException, InterruptedException {
+    stopping = true;
     for (Thread thread : threads) {
       thread.join();
     }
     Map<String, Integer> byKey = new TreeMap<>();
     Map<String, Integer> byRequest = new TreeMap<>();
     for (EndpointNode service : cluster.endpoints(EndpointNode.EndpointKind.SERVICE)) {
-      JsonObject judge = new HttpProbe(service.address()).json("/judge");
-      add(judge.getAsJsonObject("runs_by_key"), byKey);
-      add(judge.getAsJsonObject("runs_by_request"), byRequest);
+      JsonObject audit = new HttpProbe(service.address()).json("/judge");
+      add(audit.getAsJsonObject("runs_by_key"), byKey);
+      add(audit.getAsJsonObject("runs_by_request"), byRequest);
     }
-    List<String> wrong = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     Map<String, Integer> answered = new TreeMap<>();
     for (Attempt attempt : attempts) {
       int runs = byRequest.getOrDefault(attempt.id, 0);
       if (attempt.outcome.equals("NOT_RUN") && runs > 0) {
-        wrong.add("told NOT RUN, ran " + runs + " times: " + attempt);
+        violations.add("reported as NOT RUN, ran " + runs + " times: " + attempt);
       }
       if (attempt.outcome.equals("ANSWERED")) {
         answered.merge(attempt.key, 1, Integer::sum);
@@ -115,17 +115,17 @@
     }
     byKey.entrySet().stream()
         .filter(entry -> entry.getKey().startsWith(name + "-") && entry.getValue() > 1)
-        .forEach(entry -> wrong.add(entry.getKey() + " ran " + entry.getValue() + " times"));
+        .forEach(entry -> violations.add(entry.getKey() + " ran " + entry.getValue() + " times"));
     answered.entrySet().stream()
         .filter(entry -> !entry.getValue().equals(byKey.getOrDefault(entry.getKey(), 0)))
-        .forEach(entry -> wrong.add(entry + " answered, ran " + byKey.get(entry.getKey())));
+        .forEach(entry -> violations.add(entry + " answered, ran " + byKey.get(entry.getKey())));
     System.out.println(name + ": " + byKey.size() + " keys ran; attempts " + counts());
-    return wrong;
+    return violations;
   }
 
   private static void add(JsonObject counts, Map<String, Integer> to) {
     for (Map.Entry<String, JsonElement> entry : counts.entrySet()) {
-      int end = entry.getKey().lastIndexOf(INTERNAL_PART);
+      int end = entry.getKey().lastIndexOf(ATTEMPT_SEPARATOR);
       String id = end < 0 ? entry.getKey() : entry.getKey().substring(0, end);
       to.merge(id, entry.getValue().getAsInt(), Integer::sum);
     }
@@ -136,13 +136,13 @@
         .collect(Collectors.groupingBy(Attempt::outcome, TreeMap::new, Collectors.counting()));
   }
 
-  /** Returns how many attempts were answered so far. */
+  /** Returns the number of attempts answered so far. */
   long answered() {
     return counts().getOrDefault("ANSWERED", 0L);
   }
 
   @Override
   public void close() {
-    ends = true;
+    stopping = true;
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OverloadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OverloadTest.java
@@ -34,9 +34,10 @@
   private static final int DEADLINE_MS = 3_000;
 
   /**
-   * Some 35 answers a second: 16 streams of 5 tokens at steps long against a busy machine's. All
-   * rates are low enough that two cores carry callers, daemons and engine: at twice these rates the
-   * cores are full there, and half of the refusals, decided within 1 ms, take 450 ms to be sent.
+   * Sized for some 35 answers a second: 16 streams of 5 tokens, with steps that are long compared
+   * with the delays of a busy machine. All rates are low enough for two cores to carry callers,
+   * daemons and engine: at twice these rates the cores are saturated, and half of the refusals,
+   * decided within 1 ms, take 450 ms to be sent.
    */
   private static final int STREAMS = 16;
 
@@ -45,8 +46,8 @@
   private static final int QUIET_RATE = 10;
   private static final int FLOOD_RATE = 105;
 
-  /** Half of the refusals are decided on arrival; a round of the owner's timer takes 20 ms. */
-  private static final double AT_ONCE_MS = 20;
+  /** Half of the refusals are decided on arrival; the owner's timer runs every 20 ms. */
+  private static final double MAX_HOLD_MS = 20;
 
   private static Cluster cluster() throws Exception {
     Cluster cluster =
@@ -76,8 +77,8 @@
   }
 
   private static void awaitAnswer(DaemonNode daemon, int adapter) throws Exception {
-    for (long looks = LIMIT_MS / 50; looks > 0; looks--) {
-      if (ask(daemon, adapter).statusCode() == 200) {
+    for (long polls = LIMIT_MS / 50; polls > 0; polls--) {
+      if (sendRequest(daemon, adapter).statusCode() == 200) {
         return;
       }
       Thread.sleep(50);
@@ -85,7 +86,7 @@
     throw new AssertionError("no answer from " + daemon.id() + " for adapter " + adapter);
   }
 
-  private static HttpResponse<String> ask(DaemonNode daemon, int adapter) throws Exception {
+  private static HttpResponse<String> sendRequest(DaemonNode daemon, int adapter) throws Exception {
     String body =
         "{\"model\":\"%s\",\"prompt\":\"p\",\"max_tokens\":%d}"
             .formatted(ClusterNames.adapter(adapter), TOKENS);
@@ -104,7 +105,10 @@
     return new LoadPlan(SECONDS, rate, ADAPTERS, 0, TOKENS, 0, 0, 0, seed).requests();
   }
 
-  /** Priorities go before services, so a flood of work for a person shows what services share. */
+  /**
+   * Returns the plan with every request at priority INTERACTIVE. Priority takes precedence over the
+   * fair share of services, so a flood of interactive requests shows how services share.
+   */
   private static List<PlannedRequest> interactive(List<PlannedRequest> plan) {
     return plan.stream()
         .map(
@@ -137,7 +141,9 @@
     return counted.stream().filter(OverloadTest::inTime).count() / (double) counted.size();
   }
 
-  /** Returns the median of how long the owner that refused most held what it refused. */
+  /**
+   * Returns the median time for which the owner with the most refusals held the refused requests.
+   */
   private static double heldBeforeRefusalMs(Cluster cluster) throws Exception {
     double median = -1;
     long most = 0;
@@ -170,34 +176,33 @@
   @Nested
   class OneServiceFloods {
 
-    // One service sends three times what the engine can do, another a quarter of it. Without
-    // turns by service both wait in one line, and the quiet service's callers see answers that come
-    // after their deadline or not at all; only its batch work, for which nobody waits, may give way
-    // to the flood's. The flood's callers hear NOT RUN at once and when to come back; what they
-    // were
-    // told did not run has to be unknown to the engine's judge.
+    // One service sends three times the engine's capacity, another a quarter of it. With one queue
+    // for both, instead of fair queueing by service, the quiet service's callers would get answers
+    // after their deadline or none; only its batch requests may yield to the flood. The flood's
+    // callers get NOT RUN immediately, with a time to retry after, and the engine must have no
+    // record of a request that was reported as NOT RUN.
     @Test
-    void theOtherKeepsItsAnswersAndRefusalsComeAtOnce() throws Exception {
+    void theOtherServiceIsAnsweredInTimeAndRefusalsAreImmediate() throws Exception {
       try (Cluster cluster = cluster();
           LoadTool quiet = load(cluster, ClusterNames.NOTES, plan(QUIET_RATE, 1));
           LoadTool flood = load(cluster, FLOOD, interactive(plan(FLOOD_RATE, 2)))) {
         String retryAfter = retryAfterOfARefusal(cluster.daemons().get(0));
         LoadReport quietReport = quiet.await(LIMIT_MS);
         LoadReport floodReport = flood.await(LIMIT_MS);
-        Judgement judge = Judgement.of(cluster);
-        quietReport = judge.apply(quietReport);
-        floodReport = judge.apply(floodReport);
+        Judgement checker = Judgement.of(cluster);
+        quietReport = checker.apply(quietReport);
+        floodReport = checker.apply(floodReport);
         double share = inTimeShare(quietReport, any -> true);
         double priority =
             inTimeShare(quietReport, result -> result.request().priority().equals("DEADLINE"));
-        double awaited =
+        double nonBatch =
             inTimeShare(quietReport, result -> !result.request().priority().equals("BATCH"));
         long refused = floodReport.count(Verdict.NOT_RUN);
         System.out.printf(
             "overload: quiet in time %.3f, without its batch work %.3f, its priority work %.3f, flood refused %d of %d, half"
                 + " within %d ms, 95 of 100 within %d ms%n%s%n%s%n",
             share,
-            awaited,
+            nonBatch,
             priority,
             refused,
             floodReport.sent(),
@@ -207,10 +212,10 @@
             floodReport.reasons(5));
         assertThat(quietReport.count(Verdict.WRONG) + floodReport.count(Verdict.WRONG)).isZero();
         assertThat(quietReport.unanswered() + floodReport.unanswered()).isZero();
-        assertThat(awaited).as("quiet service in time").isGreaterThan(0.85);
+        assertThat(nonBatch).as("quiet service in time").isGreaterThan(0.85);
         assertThat(priority).as("its priority work in time").isGreaterThan(0.9);
         assertThat(refused).isGreaterThan(floodReport.sent() / 3);
-        assertThat(heldBeforeRefusalMs(cluster)).as("held by the owner").isLessThan(AT_ONCE_MS);
+        assertThat(heldBeforeRefusalMs(cluster)).as("held by the owner").isLessThan(MAX_HOLD_MS);
         assertThat(refusedWithinMs(floodReport, 1)).as("the last one").isLessThan(DEADLINE_MS);
         assertThat(Integer.parseInt(retryAfter)).isPositive();
       }
@@ -218,7 +223,7 @@
 
     private static String retryAfterOfARefusal(DaemonNode daemon) throws Exception {
       for (int tries = 0; tries < 1_000; tries++) {
-        HttpResponse<String> answer = ask(daemon, tries % ADAPTERS);
+        HttpResponse<String> answer = sendRequest(daemon, tries % ADAPTERS);
         if (answer.headers().firstValue("Outcome").equals(Optional.of("NOT_RUN"))) {
           return answer.headers().firstValue("Retry-After").orElse("-1");
         }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipFailureTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What callers see when the owner of an endpoint is killed, or frozen for longer than its lease.
+ * Verifies what callers see when the owner of an endpoint is killed, or frozen for longer than its
+ * lease.
  */
 class OwnershipFailureTest {
 
@@ -34,8 +35,9 @@
         .start();
   }
 
-  // Requests for one endpoint find no owner once that is killed. Its lease has to run out before
-  // another takes over, and no longer; requests whose adapters live elsewhere notice nothing.
+  // Requests for an endpoint have no owner once it is killed. Another daemon takes over when the
+  // lease has expired, with no further delay; requests for adapters on other endpoints are not
+  // affected.
   @Test
   void aKilledOwnersEndpointsAreTakenOverWithinItsLeaseAndOneSecond() throws Exception {
     try (Cluster cluster = cluster(true)) {
@@ -55,14 +57,14 @@
     }
   }
 
-  // A caller's stream ends early when its adapter is unloaded under it. The owner is frozen past
-  // its lease, another takes over and serves; the former wakes with orders that it had decided on
-  // and still believes in its lease. Its clock shows the gap and its table is old, so it orders
-  // nothing, and an engine that checks fences would refuse. Slots are few, so loads evict all
-  // along.
+  // A caller's stream ends early if its adapter is unloaded while in use. The owner is frozen past
+  // its lease, and another daemon takes over and serves; the former owner resumes with orders
+  // already decided and a lease that it still assumes valid. Its clock shows the gap and its table
+  // is old, so it sends no orders, and an engine that checks fencing tokens would refuse them.
+  // Slots are few, so loads evict throughout.
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void anOwnerThatWakesEvictsNothingThatServes(boolean checksFence) throws Exception {
+  void aResumedOwnerEvictsNoAdapterInUse(boolean checksFence) throws Exception {
     try (Cluster cluster = cluster(checksFence)) {
       cluster.awaitServing(LIMIT_MS);
       OwnershipProbe probe = new OwnershipProbe(cluster);
@@ -76,20 +78,21 @@
         cluster.daemon(frozen).process().resume();
 
         LoadReport report = Judgement.of(cluster).apply(tool.await(LIMIT_MS));
-        Judgement judgement = Judgement.of(cluster);
-        assertThat(judgement.violationDetails()).isEmpty();
-        assertThat(judgement.violations()).as("evictions while serving").isZero();
-        assertThat(judgement.evictions()).as("evictions at all").isPositive();
+        Judgement checker = Judgement.of(cluster);
+        assertThat(checker.violationDetails()).isEmpty();
+        assertThat(checker.violations()).as("evictions while serving").isZero();
+        assertThat(checker.evictions()).as("evictions at all").isPositive();
         assertThat(report.count(Verdict.WRONG)).as(report.reasons(5).toString()).isZero();
-        // A lease that lapsed is whole again with the next table; without endpoints it needs none.
-        DaemonNode woken = cluster.daemon(frozen);
+        // An expired lease is valid again with the next table; a daemon without endpoints needs
+        // none.
+        DaemonNode resumed = cluster.daemon(frozen);
         probe.await(
-            "the woken owner is whole again or owns nothing",
+            "the resumed owner has a valid lease or owns nothing",
             LIMIT_MS,
             () ->
-                probe.ready(woken)
-                    && (probe.statusField(woken, "lease").equals("VALID")
-                        || probe.owned(woken) == 0));
+                probe.ready(resumed)
+                    && (probe.statusField(resumed, "lease").equals("VALID")
+                        || probe.owned(resumed) == 0));
       }
     }
   }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipOutageTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipOutageTest.java
@@ -20,9 +20,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What callers see when daemons cannot reach the platform: one of them, or all for a long time.
+ * Verifies what callers see when daemons cannot reach the platform: one of them, or all for a long
+ * time.
  *
- * <p>The longer run: {@code -Dsequoiapass.outage.seconds=180}.
+ * <p>For a longer run: {@code -Dsequoiapass.outage.seconds=180}.
  */
 class OwnershipOutageTest {
 
@@ -47,14 +48,14 @@
     return cluster;
   }
 
-  // A caller's stream ends early when an owner that lost the platform goes on evicting while
-  // another took its endpoint over; or a caller waits, because an owner that only its own link cut
-  // off gives its endpoints up. Its peers hear it and carry its renewals, so it keeps its lease and
-  // its endpoints for many leases, whether or not its endpoints check fences. Few slots: loads
-  // evict all along.
+  // A caller's stream ends early if an owner that lost the platform keeps evicting after another
+  // daemon took its endpoint over; a caller waits if an owner releases its endpoints although only
+  // its own link is cut. The owner's peers receive its heartbeats and relay its renewals, so it
+  // keeps its lease and its endpoints for many lease durations, whether or not its endpoints check
+  // fencing tokens. Slots are few, so loads evict throughout.
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void anOwnerThatOnlyLostThePlatformKeepsWhatItHas(boolean checksFence) throws Exception {
+  void anOwnerThatOnlyLostThePlatformKeepsItsEndpoints(boolean checksFence) throws Exception {
     try (Cluster cluster = cluster(checksFence)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       DaemonNode cut = cluster.daemon(probe.owner("e1", "yard-north"));
@@ -67,10 +68,10 @@
 
         assertThat(probe.owner("e1", "yard-north")).isEqualTo(cut.id());
         assertThat(probe.statusField(cut, "lease")).isEqualTo("VALID");
-        Judgement judgement = Judgement.of(cluster);
-        System.out.println("cut off: " + counts(report) + " evictions=" + judgement.evictions());
-        assertThat(judgement.violationDetails()).isEmpty();
-        assertThat(judgement.evictions()).as("evictions at all").isPositive();
+        Judgement checker = Judgement.of(cluster);
+        System.out.println("cut off: " + counts(report) + " evictions=" + checker.evictions());
+        assertThat(checker.violationDetails()).isEmpty();
+        assertThat(checker.evictions()).as("evictions at all").isPositive();
         assertThat(report.reasons(5)).isEmpty();
         assertThat(report.count(Verdict.WHOLE)).isEqualTo(report.sent());
       }
@@ -78,49 +79,51 @@
   }
 
   // The platform is out for minutes, longer than any lease. A caller must neither get a wrong
-  // answer nor lose a stream to an eviction, while other adapters become popular and daemons are
-  // replaced: owners go on, since all say that the platform is out for them too; the endpoints of
-  // a replaced daemon are served without orders. Afterwards every endpoint has an owner again.
+  // answer nor lose a stream to an eviction, while the popular adapters change and daemons are
+  // replaced. Owners keep serving, since all daemons report that the platform is out for them too;
+  // the endpoints of a replaced daemon are served without orders. After the outage every endpoint
+  // has an owner again.
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void minutesWithoutThePlatformHarmNoAnswer(boolean checksFence) throws Exception {
     try (Cluster cluster = cluster(checksFence)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
-      // Its callers stay connected: what is measured is the others' view of its end.
+      // No load goes through the replaced daemon, so the check covers how the others handle its
+      // failure.
       DaemonNode replaced = cluster.daemon("d3");
       List<DaemonNode> entries = List.of(cluster.daemon("d1"), cluster.daemon("d2"));
       try (LoadTool tool = LoadTool.to(entries.stream().map(DaemonNode::callers).toList())) {
-        tool.start(shifting());
+        tool.start(planWithShiftingPopularity());
         cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
         probe.await("half", LIMIT_MS + 500L * OUTAGE_SECONDS, () -> tool.sent() > sentBy(0.4));
         replaced.process().kill();
         cluster.restart(replaced);
-        LoadReport told = tool.await(2 * LIMIT_MS + 1_000L * OUTAGE_SECONDS);
+        LoadReport clientReport = tool.await(2 * LIMIT_MS + 1_000L * OUTAGE_SECONDS);
         cluster.faults(cluster.platformAddress(), "{}");
 
-        Judgement judgement = Judgement.of(cluster);
-        LoadReport report = judgement.apply(told);
+        Judgement checker = Judgement.of(cluster);
+        LoadReport report = checker.apply(clientReport);
         System.out.println(
             "outage of "
                 + OUTAGE_SECONDS
                 + " s: "
                 + counts(report)
                 + " loads="
-                + judgement.loads()
+                + checker.loads()
                 + " "
                 + report.reasons(4));
-        assertThat(judgement.violationDetails()).isEmpty();
+        assertThat(checker.violationDetails()).isEmpty();
         assertThat(report.count(Verdict.WRONG)).as(report.reasons(5).toString()).isZero();
         assertThat(report.unanswered()).isZero();
-        assertThat(judgement.evictions()).as("adapters shift").isPositive();
+        assertThat(checker.evictions()).as("adapters shift").isPositive();
         assertThat(report.count(Verdict.WHOLE)).isGreaterThan(report.sent() * 3 / 4);
         probe.await("owners again", LIMIT_MS, () -> allOwnedAndValid(cluster, probe));
       }
     }
   }
 
-  /** The most popular adapter is another one in each third of the outage. */
-  private static List<PlannedRequest> shifting() {
+  /** Returns a plan in which the most popular adapter changes with each third of the outage. */
+  private static List<PlannedRequest> planWithShiftingPopularity() {
     List<PlannedRequest> requests = new ArrayList<>();
     int part = OUTAGE_SECONDS / 3;
     for (int i = 0; i < 3; i++) {
@@ -168,15 +171,15 @@
     return owned == 3;
   }
 
-  // Two daemons are stopped while nobody can take their endpoints over. A caller must not lose a
-  // stream by that: they finish what they have and go, and the one left serves their endpoints as
-  // deputy, without orders, until the platform is back and gives them to it.
+  // Two daemons are stopped while no ownership change is possible. A caller must not lose a stream:
+  // they complete their requests and exit, and the remaining daemon serves their endpoints as
+  // backup owner, without orders, until the platform recovers and makes it their owner.
   @Test
   void twoStopsWithoutThePlatformCutOffNoRequest() throws Exception {
     try (Cluster cluster = cluster(true)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
-      DaemonNode left = cluster.daemon("d3");
-      try (LoadTool tool = LoadTool.to(List.of(left.callers()))) {
+      DaemonNode remaining = cluster.daemon("d3");
+      try (LoadTool tool = LoadTool.to(List.of(remaining.callers()))) {
         tool.start(new LoadPlan(10, 15, 3, 0, 30, 0, 0, 0, 31).requests());
         probe.await("load", LIMIT_MS, () -> tool.sent() > 40);
         cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
@@ -185,14 +188,14 @@
         cluster.daemon("d2").process().stop();
         cluster.daemon("d1").process().awaitExit(LIMIT_MS);
         cluster.daemon("d2").process().awaitExit(LIMIT_MS);
-        LoadReport told = tool.await(LIMIT_MS);
+        LoadReport clientReport = tool.await(LIMIT_MS);
         cluster.faults(cluster.platformAddress(), "{}");
-        probe.await("the one left owns all", LIMIT_MS, () -> probe.owned(left) == 3);
+        probe.await("the remaining daemon owns all", LIMIT_MS, () -> probe.owned(remaining) == 3);
 
-        Judgement judgement = Judgement.of(cluster);
-        LoadReport report = judgement.apply(told);
+        Judgement checker = Judgement.of(cluster);
+        LoadReport report = checker.apply(clientReport);
         System.out.println("two stops in an outage: " + counts(report) + " " + report.reasons(4));
-        assertThat(judgement.violationDetails()).isEmpty();
+        assertThat(checker.violationDetails()).isEmpty();
         assertThat(report.count(Verdict.WRONG)).isZero();
         assertThat(report.count(Verdict.UNKNOWN)).as(report.reasons(5).toString()).isZero();
         assertThat(report.unanswered()).isZero();
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipProbe.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipProbe.java
@@ -14,13 +14,13 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 
-/** Asks a cluster's daemons and platform what they hold, and waits for it with a bound. */
+/** Queries the state of a cluster's daemons and platform, and waits for conditions with a limit. */
 final class OwnershipProbe {
 
-  private static final long LOOK_MS = 20;
+  private static final long POLL_INTERVAL_MS = 20;
 
-  /** Several rounds of balance. */
-  private static final long STEADY_MS = 3_000;
+  /** Several rounds of the ownership balancer. */
+  private static final long STABLE_MS = 3_000;
 
   private final Cluster cluster;
 
@@ -28,24 +28,28 @@
     this.cluster = cluster;
   }
 
-  /** Waits until a condition holds; returns how long that took, or fails after the limit. */
+  /**
+   * Waits until a condition holds and returns the time taken in milliseconds.
+   *
+   * @throws AssertionError if the condition does not hold within the limit
+   */
   long await(String what, long limitMs, Callable<Boolean> condition) throws Exception {
     long start = System.nanoTime();
-    long looks = 0;
+    long polls = 0;
     while (!condition.call()) {
-      looks++;
-      long passedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
-      if (passedMs > limitMs || looks > limitMs) {
+      polls++;
+      long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
+      if (elapsedMs > limitMs || polls > limitMs) {
         throw new AssertionError(what + ": not within " + limitMs + " ms");
       }
-      Thread.sleep(LOOK_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
   }
 
   /**
-   * Waits until endpoints have several owners and none moves any more: the first daemon to start
-   * takes them all, and hands some over once the others have been steady for a while.
+   * Waits until endpoints have several owners and ownership is stable: the first daemon to start
+   * takes all endpoints, and hands some over once the others have been steady for a while.
    */
   void awaitBalanced(String dataCentre, long limitMs) throws Exception {
     Map<String, Long> since = new HashMap<>();
@@ -58,8 +62,8 @@
           Set<JsonElement> distinct = new HashSet<>(owners.asMap().values());
           since.keySet().retainAll(Set.of(owners.toString()));
           long first = since.computeIfAbsent(owners.toString(), seen -> System.nanoTime());
-          long steadyMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - first);
-          return distinct.size() > 1 && steadyMs > STEADY_MS;
+          long stableMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - first);
+          return distinct.size() > 1 && stableMs > STABLE_MS;
         });
   }
 
@@ -67,7 +71,7 @@
     try {
       HttpCall call = HttpCall.to(daemon.operators(), "GET", "/status");
       return Optional.of(cluster.http().read(call, JsonObject.class));
-    } catch (IOException notThere) {
+    } catch (IOException unreachable) {
       return Optional.empty();
     }
   }
@@ -83,19 +87,19 @@
   boolean ready(DaemonNode daemon) throws InterruptedException {
     try {
       return cluster.http().send(HttpCall.to(daemon.operators(), "GET", "/ready")).ok();
-    } catch (IOException notThere) {
+    } catch (IOException unreachable) {
       return false;
     }
   }
 
-  /** Returns the owner that the platform's table names for an endpoint, or nothing. */
+  /** Returns the owner of an endpoint in the platform's ownership table, or an empty string. */
   String owner(String endpoint, String dataCentre) throws IOException, InterruptedException {
     JsonObject owners = cluster.objects().value("ownership", dataCentre).getAsJsonObject("owners");
     return owners.has(endpoint) ? owners.get(endpoint).getAsString() : "";
   }
 
-  /** Returns a counter of an endpoint's judge. */
-  long judged(String endpoint, String counter) throws IOException, InterruptedException {
+  /** Returns a counter of an endpoint's audit report. */
+  long auditCounter(String endpoint, String counter) throws IOException, InterruptedException {
     HttpCall call = HttpCall.to(cluster.endpoint(endpoint).address(), "GET", "/judge");
     return cluster.http().read(call, JsonObject.class).get(counter).getAsLong();
   }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipTakeoverLoadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipTakeoverLoadTest.java
@@ -23,7 +23,7 @@
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
 
-/** What callers of other endpoints see while a takeover is under way. */
+/** Verifies what callers of other endpoints see during a takeover. */
 class OwnershipTakeoverLoadTest {
 
   private static final long LIMIT_MS = 30_000;
@@ -33,7 +33,7 @@
   private static final int BEFORE_SECONDS = 5;
   private static final int DURING_SECONDS = 6;
 
-  /** Within one run; a second or more, as a wait for the lease would cost, is far above it. */
+  /** Limit within one run; a wait for the lease would add a second or more, far above it. */
   private static final long MAX_ADDED_MICROS = 250_000;
 
   private static Cluster cluster() throws Exception {
@@ -50,19 +50,18 @@
     return cluster;
   }
 
-  // A caller whose adapter lives on an endpoint that nothing happened to waits as long as the
-  // callers of the dead owner's endpoints, if the entry or the new owner does its work for the
-  // takeover in the way of other requests. Its wait for the first token is compared with that of
-  // the seconds before, in the same run.
+  // If the entry daemon or the new owner blocks other requests with its work for the takeover, the
+  // callers of unaffected endpoints wait as long as those of the failed owner's endpoints. Their
+  // time to first token is compared with that of the preceding seconds of the same run.
   @Test
   void requestsToOtherEndpointsAreNotDelayed() throws Exception {
     try (Cluster cluster = cluster()) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       probe.awaitBalanced("yard-north", LIMIT_MS);
-      Map<String, String> homes = homes(cluster, probe);
-      String lost = engineOfAnother(cluster, probe, homes);
-      String victim = probe.owner(lost, "yard-north");
-      List<String> elsewhere = adaptersNotOn(homes, probe, victim);
+      Map<String, String> enginesByAdapter = enginesByAdapter(cluster, probe);
+      String lostEngine = engineWithAnotherOwner(cluster, probe, enginesByAdapter);
+      String victim = probe.owner(lostEngine, "yard-north");
+      List<String> elsewhere = adaptersNotOwnedBy(enginesByAdapter, probe, victim);
       List<DaemonNode> others =
           cluster.daemons().stream().filter(daemon -> !daemon.id().equals(victim)).toList();
       try (LoadTool tool = LoadTool.to(others.stream().map(DaemonNode::callers).toList())) {
@@ -73,7 +72,7 @@
             probe.await(
                 "takeover",
                 LIMIT_MS,
-                () -> !List.of("", victim).contains(probe.owner(lost, "yard-north")));
+                () -> !List.of("", victim).contains(probe.owner(lostEngine, "yard-north")));
         LoadReport report = Judgement.of(cluster).apply(tool.await(LIMIT_MS));
 
         Histogram before = report.firstTokens(OwnershipTakeoverLoadTest::isBefore);
@@ -101,34 +100,36 @@
     return result.request().atMicros() < TimeUnit.SECONDS.toMicros(BEFORE_SECONDS);
   }
 
-  /** Returns an engine of another daemon than the one that owns the first adapter's engine. */
-  private static String engineOfAnother(
-      Cluster cluster, OwnershipProbe probe, Map<String, String> homes) throws Exception {
-    String spared = probe.owner(homes.get(ClusterNames.adapter(0)), "yard-north");
+  /** Returns an engine that is not owned by the owner of the first adapter's engine. */
+  private static String engineWithAnotherOwner(
+      Cluster cluster, OwnershipProbe probe, Map<String, String> enginesByAdapter)
+      throws Exception {
+    String excluded = probe.owner(enginesByAdapter.get(ClusterNames.adapter(0)), "yard-north");
     for (EndpointNode engine : cluster.endpoints()) {
-      if (!probe.owner(engine.id(), "yard-north").equals(spared)) {
+      if (!probe.owner(engine.id(), "yard-north").equals(excluded)) {
         return engine.id();
       }
     }
-    throw new AssertionError("all engines are owned by " + spared);
+    throw new AssertionError("all engines are owned by " + excluded);
   }
 
-  /** Returns the adapters whose engine another daemon owns. */
-  private static List<String> adaptersNotOn(
-      Map<String, String> homes, OwnershipProbe probe, String daemon) throws Exception {
+  /** Returns the adapters on engines that the given daemon does not own. */
+  private static List<String> adaptersNotOwnedBy(
+      Map<String, String> enginesByAdapter, OwnershipProbe probe, String daemon) throws Exception {
     List<String> adapters = new ArrayList<>();
-    for (Map.Entry<String, String> home : homes.entrySet()) {
-      if (!probe.owner(home.getValue(), "yard-north").equals(daemon)) {
-        adapters.add(home.getKey());
+    for (Map.Entry<String, String> placement : enginesByAdapter.entrySet()) {
+      if (!probe.owner(placement.getValue(), "yard-north").equals(daemon)) {
+        adapters.add(placement.getKey());
       }
     }
     assertThat(adapters).as("adapters on other owners' endpoints").isNotEmpty();
     return adapters;
   }
 
-  /** Loads every adapter and returns the engine that each went to. */
-  private static Map<String, String> homes(Cluster cluster, OwnershipProbe probe) throws Exception {
-    Map<String, String> homes = new HashMap<>();
+  /** Loads every adapter and returns the engine that serves each, by adapter. */
+  private static Map<String, String> enginesByAdapter(Cluster cluster, OwnershipProbe probe)
+      throws Exception {
+    Map<String, String> enginesByAdapter = new HashMap<>();
     for (int i = 0; i < ADAPTERS; i++) {
       String adapter = ClusterNames.adapter(i);
       Map<String, Long> before = accepted(cluster, probe);
@@ -140,18 +141,18 @@
           .forEach(
               (engine, count) -> {
                 if (count > before.get(engine)) {
-                  homes.put(adapter, engine);
+                  enginesByAdapter.put(adapter, engine);
                 }
               });
     }
-    return homes;
+    return enginesByAdapter;
   }
 
   private static Map<String, Long> accepted(Cluster cluster, OwnershipProbe probe)
       throws Exception {
     Map<String, Long> counts = new HashMap<>();
     for (EndpointNode engine : cluster.endpoints()) {
-      counts.put(engine.id(), probe.judged(engine.id(), "accepted"));
+      counts.put(engine.id(), probe.auditCounter(engine.id(), "accepted"));
     }
     return counts;
   }
@@ -172,29 +173,30 @@
     return requests;
   }
 
-  // Two hosts go within a second, one by a crash and one by plan. Callers of the stopping daemon's
-  // endpoints must not notice: it hands over to the one left although the table still names the
-  // dead one as well, and its callers' streams end whole. Only the dead owner's endpoints wait for
-  // its lease.
+  // Two hosts leave within a second, one by a crash and one by a planned stop. Callers of the
+  // stopping daemon's endpoints must not be affected: it hands over to the remaining daemon
+  // although the table still names the failed one as well, and its callers' streams complete. Only
+  // the failed owner's endpoints wait for its lease to expire.
   @Test
   void aStopDuringATakeoverCutsOffNoRequest() throws Exception {
     try (Cluster cluster = cluster()) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       probe.awaitBalanced("yard-north", LIMIT_MS);
-      Map<String, String> homes = homes(cluster, probe);
-      String dead = probe.owner(engineOfAnother(cluster, probe, homes), "yard-north");
-      List<String> elsewhere = adaptersNotOn(homes, probe, dead);
+      Map<String, String> enginesByAdapter = enginesByAdapter(cluster, probe);
+      String failed =
+          probe.owner(engineWithAnotherOwner(cluster, probe, enginesByAdapter), "yard-north");
+      List<String> elsewhere = adaptersNotOwnedBy(enginesByAdapter, probe, failed);
       List<DaemonNode> others =
-          cluster.daemons().stream().filter(daemon -> !daemon.id().equals(dead)).toList();
+          cluster.daemons().stream().filter(daemon -> !daemon.id().equals(failed)).toList();
       DaemonNode stopping = probe.owned(others.get(0)) > 0 ? others.get(0) : others.get(1);
-      DaemonNode left = stopping == others.get(0) ? others.get(1) : others.get(0);
-      try (LoadTool tool = LoadTool.to(List.of(left.callers()))) {
+      DaemonNode remaining = stopping == others.get(0) ? others.get(1) : others.get(0);
+      try (LoadTool tool = LoadTool.to(List.of(remaining.callers()))) {
         tool.start(requests(elsewhere));
         probe.await("before", LIMIT_MS, () -> tool.sent() >= RATE * BEFORE_SECONDS / 2);
-        cluster.daemon(dead).process().kill();
+        cluster.daemon(failed).process().kill();
         stopping.process().stop();
         stopping.process().awaitExit(LIMIT_MS);
-        probe.await("the one left owns all", LIMIT_MS, () -> probe.owned(left) == 6);
+        probe.await("the remaining daemon owns all", LIMIT_MS, () -> probe.owned(remaining) == 6);
         LoadReport report = Judgement.of(cluster).apply(tool.await(LIMIT_MS));
 
         assertThat(report.reasons(5)).isEmpty();
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/PlacementFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/PlacementFailureTest.java
@@ -13,59 +13,59 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What callers and operators see of loads while engines lose what they hold. */
+/** Verifies what callers and operators see of loads while engines lose their adapters. */
 class PlacementFailureTest {
 
   private static final long LIMIT_MS = 20_000;
   private static final long LOAD_LIMIT_MS = 10_000;
   private static final int RESTARTS = 5;
 
-  // An engine restarts empty while nobody asks. Under PEAK nothing is loaded ahead, since loads are
-  // for callers who wait; a caller's own adapter is loaded, and its answer is whole. Once ORDINARY
-  // is in force, without a restart of the daemon, the engine gets back what was asked for most
-  // first, so that the callers who come next find it.
+  // An engine restarts empty without pending requests. Under PEAK nothing is preloaded, since loads
+  // are reserved for waiting callers; a requested adapter is loaded, and its answer is complete.
+  // Once ORDINARY is in force, without a restart of the daemon, the engine is refilled in order of
+  // demand, so that later callers find their adapters loaded.
   @Test
-  void anEmptyEngineIsRefilledHottestFirstOnceThePresetAllowsIt() throws Exception {
+  void anEmptyEngineIsRefilledInOrderOfDemandOnceThePresetAllowsIt() throws Exception {
     try (Cluster cluster = cluster()) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       DaemonNode daemon = cluster.daemon("d1");
-      ask(cluster, 2, 3);
-      ask(cluster, 0, 5);
-      ask(cluster, 1, 1);
+      sendRequests(cluster, 2, 3);
+      sendRequests(cluster, 0, 5);
+      sendRequests(cluster, 1, 1);
       preset(cluster, probe, "PEAK");
       cluster.faults(cluster.endpoint("e1").address(), "{\"restart\":true}");
-      probe.await("restart seen", LIMIT_MS, () -> count(cluster, "ENGINE_RESTARTED") == 1);
-      int before = loaded(cluster).size();
-      ask(cluster, 3, 1);
-      assertThat(loaded(cluster).subList(before, loaded(cluster).size()))
+      probe.await("restart seen", LIMIT_MS, () -> eventCount(cluster, "ENGINE_RESTARTED") == 1);
+      int before = startedLoads(cluster).size();
+      sendRequests(cluster, 3, 1);
+      assertThat(startedLoads(cluster).subList(before, startedLoads(cluster).size()))
           .containsExactly(ClusterNames.adapter(3));
 
       preset(cluster, probe, "ORDINARY");
-      probe.await("refilled", LOAD_LIMIT_MS, () -> loaded(cluster).size() == before + 4);
+      probe.await("refilled", LOAD_LIMIT_MS, () -> startedLoads(cluster).size() == before + 4);
 
-      assertThat(loaded(cluster).subList(before + 1, before + 4))
+      assertThat(startedLoads(cluster).subList(before + 1, before + 4))
           .containsExactly(
               ClusterNames.adapter(0), ClusterNames.adapter(2), ClusterNames.adapter(1));
       assertThat(probe.statusField(daemon, "preset")).isEqualTo("ORDINARY");
     }
   }
 
-  // The engine restarts right after the owner saw it hold the adapter: the request that was routed
-  // for the copy meets an engine without it. Its caller gets one whole answer of the adapter and
-  // version it named, later by a load, or is told NOT RUN where no other engine is left to try; the
-  // owner learns of the empty slots, and what the engine took is what callers got.
+  // The engine restarts right after the owner saw it hold the adapter, so a request routed to that
+  // copy reaches an engine without it. Its caller gets one complete answer from the adapter and
+  // version it named, after a load, or NOT RUN if no other engine is left to try. The owner detects
+  // the empty slots, and the engine accepts exactly the requests that callers got answers to.
   @Test
   void anEngineThatRestartsBetweenRouteAndSendRunsNothingOnAnEmptySlot() throws Exception {
     try (Cluster cluster = cluster()) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
-      ask(cluster, 0, 1);
-      long before = probe.judged("e1", "accepted");
-      int whole = 0;
+      sendRequests(cluster, 0, 1);
+      long before = probe.auditCounter("e1", "accepted");
+      int complete = 0;
       for (int i = 0; i < RESTARTS; i++) {
         cluster.faults(cluster.endpoint("e1").address(), "{\"restart\":true}");
         HttpAnswer answer = call(cluster, 0);
         if (answer.ok()) {
-          whole++;
+          complete++;
           assertThat(answer.headers().get("Adapter-Version"))
               .isEqualTo(ClusterNames.CURRENT_VERSION);
           assertThat(answer.text()).contains(ClusterNames.adapter(0) + "@v2");
@@ -73,42 +73,46 @@
           assertThat(answer.text()).contains("\"outcome\":\"NOT_RUN\"");
         }
         probe.await("serves again", LIMIT_MS, () -> call(cluster, 0).ok());
-        whole++;
+        complete++;
       }
 
-      assertThat(probe.judged("e1", "not_loaded")).as("met an empty engine").isPositive();
-      assertThat(probe.judged("e1", "accepted") - before).as("each ran once").isEqualTo(whole);
+      assertThat(probe.auditCounter("e1", "not_loaded")).as("met an empty engine").isPositive();
+      assertThat(probe.auditCounter("e1", "accepted") - before)
+          .as("each ran once")
+          .isEqualTo(complete);
     }
   }
 
-  // Every load fails, late, while a caller waits for an adapter that nobody holds; then the weight
-  // store recovers. The caller waits through the failed loads and gets the whole answer of the
-  // version it named, since a failed load leaves no slot that a request could run on.
+  // Every load fails, after a delay, while a caller waits for an adapter that no engine holds; then
+  // the weight store recovers. The caller waits through the failed loads and gets the complete
+  // answer of the version it named, since a failed load leaves no slot that a request could run on.
   @Test
   void aCallerWaitsThroughLoadsThatFail() throws Exception {
     try (Cluster cluster = cluster()) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
-      long before = probe.judged("e1", "accepted");
-      int answered = count(cluster, "REQUEST_ANSWERED");
+      long before = probe.auditCounter("e1", "accepted");
+      int answered = eventCount(cluster, "REQUEST_ANSWERED");
       cluster.faults(cluster.endpoint("e1").address(), "{\"fail_loads\":1.0}");
-      Thread caller = new Thread(() -> askUnchecked(cluster));
+      Thread caller = new Thread(() -> sendRequestUnchecked(cluster));
       caller.start();
-      probe.await("two failed loads", LIMIT_MS, () -> probe.judged("e1", "failed_loads") >= 2);
-      assertThat(probe.judged("e1", "accepted")).isEqualTo(before);
+      probe.await(
+          "two failed loads", LIMIT_MS, () -> probe.auditCounter("e1", "failed_loads") >= 2);
+      assertThat(probe.auditCounter("e1", "accepted")).isEqualTo(before);
       cluster.faults(cluster.endpoint("e1").address(), "{}");
       caller.join(LIMIT_MS);
 
-      assertThat(probe.judged("e1", "accepted")).isEqualTo(before + 1);
-      assertThat(count(cluster, "REQUEST_ANSWERED")).isEqualTo(answered + 1);
+      assertThat(probe.auditCounter("e1", "accepted")).isEqualTo(before + 1);
+      assertThat(eventCount(cluster, "REQUEST_ANSWERED")).isEqualTo(answered + 1);
     }
   }
 
-  // An engine holds an adapter that its owner never heard of, as when the answer to a load is lost
-  // or a former owner's load ends after the takeover. Its slot counts as free, and each load into
-  // it is refused: callers were told LOAD_FAILED again and again. A look at the engine tells what
-  // the slot holds, which is evicted like anything else, and the caller is answered.
+  // An engine holds an adapter of which its owner has no record, for example because the answer to
+  // a load was lost or a former owner's load ended after the takeover. The owner counts its slot as
+  // free, and the engine refuses each load into it, so callers repeatedly get LOAD_FAILED. Reading
+  // the engine's state shows what the slot holds; that adapter is evicted like any other, and the
+  // caller gets an answer.
   @Test
-  void anAdapterThatNobodyHeardOfIsEvictedForOneThatIsAskedFor() throws Exception {
+  void anAdapterUnknownToItsOwnerIsEvictedForARequestedOne() throws Exception {
     try (Cluster cluster =
         Cluster.builder()
             .daemons(1)
@@ -118,7 +122,7 @@
             .checksFence(false)
             .start()) {
       cluster.awaitServing(LIMIT_MS);
-      ask(cluster, 0, 1);
+      sendRequests(cluster, 0, 1);
       HttpCall order =
           HttpCall.to(cluster.endpoint("e1").address(), "POST", "/v1/orders")
               .body(
@@ -126,8 +130,8 @@
                       .formatted(ClusterNames.adapter(2), ClusterNames.CURRENT_VERSION));
       assertThat(cluster.http().send(order).status()).isEqualTo(200);
 
-      ask(cluster, 1, 1);
-      assertThat(count(cluster, "EVICTED")).isPositive();
+      sendRequests(cluster, 1, 1);
+      assertThat(eventCount(cluster, "EVICTED")).isPositive();
     }
   }
 
@@ -140,10 +144,11 @@
   private static void preset(Cluster cluster, OwnershipProbe probe, String preset)
       throws Exception {
     HttpCall read = HttpCall.to(cluster.platformAddress(), "GET", "/v1/objects/preset/current");
-    String seen = cluster.http().read(read, JsonObject.class).get("version").getAsString();
+    String expectedVersion =
+        cluster.http().read(read, JsonObject.class).get("version").getAsString();
     HttpCall write =
         HttpCall.to(cluster.platformAddress(), "PUT", "/v1/objects/preset/current")
-            .header("If-Match", seen)
+            .header("If-Match", expectedVersion)
             .header("Operation-Id", "preset-" + preset)
             .body("{\"preset\":\"%s\",\"effective_at\":0}".formatted(preset));
     assertThat(cluster.http().send(write).ok()).isTrue();
@@ -151,15 +156,15 @@
     probe.await(preset, LIMIT_MS, () -> probe.statusField(daemon, "preset").equals(preset));
   }
 
-  private static void askUnchecked(Cluster cluster) {
+  private static void sendRequestUnchecked(Cluster cluster) {
     try {
-      ask(cluster, 1, 1);
+      sendRequests(cluster, 1, 1);
     } catch (Exception failed) {
       throw new AssertionError(failed);
     }
   }
 
-  private static void ask(Cluster cluster, int adapter, int times) throws Exception {
+  private static void sendRequests(Cluster cluster, int adapter, int times) throws Exception {
     for (int i = 0; i < times; i++) {
       HttpAnswer answer = call(cluster, adapter);
       assertThat(answer.status()).as(answer.text()).isEqualTo(200);
@@ -175,7 +180,7 @@
         .send(HttpCall.to(cluster.daemon("d1").callers(), "POST", "/v1/completions").body(body));
   }
 
-  private static List<String> loaded(Cluster cluster) throws Exception {
+  private static List<String> startedLoads(Cluster cluster) throws Exception {
     List<String> adapters = new ArrayList<>();
     for (JsonElement event : events(cluster, "LOAD_STARTED")) {
       String version = event.getAsJsonObject().get("adapter").getAsString();
@@ -184,7 +189,7 @@
     return adapters;
   }
 
-  private static int count(Cluster cluster, String kind) throws Exception {
+  private static int eventCount(Cluster cluster, String kind) throws Exception {
     return events(cluster, kind).size();
   }
 
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestDeadlineTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestDeadlineTest.java
@@ -14,10 +14,10 @@
   private static final int REQUESTS = 8;
 
   // An adapter never loads, and its callers' deadlines pass while they wait at the owner. Nothing
-  // reached the engine, so each has to hear NOT RUN; if the owner's proof came after the entry's
-  // own deadline, they would hear UNKNOWN.
+  // reached the engine, so each caller must get NOT RUN; if the owner's proof arrived after the
+  // entry daemon's own deadline, they would get UNKNOWN.
   @Test
-  void whatOnlyWaitedIsToldAsNotRun() throws Exception {
+  void aRequestThatOnlyWaitedIsReportedAsNotRun() throws Exception {
     try (Cluster cluster = Cluster.builder().daemons(2).engines(1).adapters(2).start()) {
       cluster.awaitServing(LIMIT_MS);
       cluster.faults(cluster.endpoint("e1").address(), "{\"hang_loads\":true}");
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestInputTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestInputTest.java
@@ -19,34 +19,36 @@
   private static final String PATH = "/v1/completions";
   private static final int TOKENS = 400;
 
-  // While one caller reads a long answer, others send what no client should: each gets a clear
-  // error that says NOT RUN, and the long answer is not touched.
+  // While one caller reads a long answer, others send invalid input: each gets a specific error
+  // with outcome NOT RUN, and the long answer is not affected.
   @Test
-  void badInputIsRefusedAndHarmsNobodyElse() throws Exception {
+  void invalidInputIsRefusedAndAffectsNoOtherCaller() throws Exception {
     try (Cluster cluster = Cluster.builder().daemons(1).engines(1).adapters(1).start()) {
       cluster.awaitServing(LIMIT_MS);
       InetSocketAddress daemon = cluster.daemon("d1").callers();
       HttpProbe probe = new HttpProbe(daemon);
-      CompletableFuture<HttpResponse<String>> whole =
+      CompletableFuture<HttpResponse<String>> longAnswer =
           probe.start("POST", PATH, body(ClusterNames.adapter(0), TOKENS));
 
-      assertThat(raw(daemon, "NONSENSE\r\n\r\n")).contains(" 400 ", "MALFORMED_REQUEST");
-      assertThat(raw(daemon, "GET / HTTP/1.1\r\nX: " + "x".repeat(100_000) + "\r\n\r\n"))
+      assertThat(sendRaw(daemon, "NONSENSE\r\n\r\n")).contains(" 400 ", "MALFORMED_REQUEST");
+      assertThat(sendRaw(daemon, "GET / HTTP/1.1\r\nX: " + "x".repeat(100_000) + "\r\n\r\n"))
           .contains(" 431 ", "HEADERS_TOO_LARGE");
-      assertThat(raw(daemon, "POST " + PATH + " HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"))
+      assertThat(sendRaw(daemon, "POST " + PATH + " HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"))
           .contains(" 413 ", "BODY_TOO_LARGE");
-      refused(probe, "{", 400, "MALFORMED_REQUEST");
-      refused(probe, body("nobody", 1), 404, "UNKNOWN_ADAPTER");
-      refused(probe, body(ClusterNames.adapter(0) + "@v99", 1), 404, "UNKNOWN_VERSION");
-      refused(probe, body(ClusterNames.adapter(0), -1), 400, "MALFORMED_REQUEST");
-      refused(probe, body(ClusterNames.adapter(0), 1), 400, "BAD_DEADLINE", "Deadline-Ms", "soon");
-      refused(probe, body(ClusterNames.adapter(0), 1), 404, "UNKNOWN_SERVICE", "Service", "none");
+      assertRefused(probe, "{", 400, "MALFORMED_REQUEST");
+      assertRefused(probe, body("nobody", 1), 404, "UNKNOWN_ADAPTER");
+      assertRefused(probe, body(ClusterNames.adapter(0) + "@v99", 1), 404, "UNKNOWN_VERSION");
+      assertRefused(probe, body(ClusterNames.adapter(0), -1), 400, "MALFORMED_REQUEST");
+      assertRefused(
+          probe, body(ClusterNames.adapter(0), 1), 400, "BAD_DEADLINE", "Deadline-Ms", "soon");
+      assertRefused(
+          probe, body(ClusterNames.adapter(0), 1), 404, "UNKNOWN_SERVICE", "Service", "none");
 
-      assertThat(whole.join().body()).contains("\"tokens\":" + TOKENS);
+      assertThat(longAnswer.join().body()).contains("\"tokens\":" + TOKENS);
     }
   }
 
-  private static void refused(
+  private static void assertRefused(
       HttpProbe probe, String body, int status, String kind, String... headers)
       throws IOException, InterruptedException {
     HttpResponse<String> answer = probe.call("POST", PATH, body, headers);
@@ -55,7 +57,7 @@
     assertThat(answer.headers().firstValue("Outcome")).contains("NOT_RUN");
   }
 
-  private static String raw(InetSocketAddress daemon, String text) throws IOException {
+  private static String sendRaw(InetSocketAddress daemon, String text) throws IOException {
     try (Socket socket = new Socket(daemon.getAddress(), daemon.getPort())) {
       socket.setSoTimeout(5_000);
       socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestRunsOnceTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestRunsOnceTest.java
@@ -35,7 +35,8 @@
     cluster.awaitServing(LIMIT_MS);
     calls = new KeyedCalls(cluster);
     for (String daemon : List.of("d1", "d2", "d3")) {
-      HttpResponse<String> first = calls.slipOnceAsked(daemon, "warm-" + daemon, BODY, LIMIT_MS);
+      HttpResponse<String> first =
+          calls.sendSlipUntilLedgerAvailable(daemon, "warm-" + daemon, BODY, LIMIT_MS);
       assertThat(first.statusCode()).as(first.body()).isEqualTo(200);
     }
   }
@@ -52,8 +53,8 @@
     calls.faults("{}");
   }
 
-  // A clerk's app sends one slip through two daemons at the same moment, and once more after it.
-  // Both reach the key's home; the one that comes second must not run, whatever it is told.
+  // A client sends one slip through two daemons at the same time, and once more afterwards. Both
+  // reach the primary replica of the key; the later one must not run, whatever its outcome.
   @Test
   @Order(1)
   void oneKeyThroughTwoDaemonsAtOnceRunsOnce() throws Exception {
@@ -67,68 +68,71 @@
       List<String> outcomes = sent.stream().map(one -> KeyedCalls.outcome(one.join())).toList();
 
       assertThat(outcomes).containsExactlyInAnyOrder("ANSWERED", "UNKNOWN");
-      assertThat(calls.slip("d3", key, BODY).body()).contains("KEY_ALREADY_RAN");
-      assertThat(calls.slip("d3", key, "pay 999").body()).contains("KEY_REUSED");
+      assertThat(calls.sendSlip("d3", key, BODY).body()).contains("KEY_ALREADY_RAN");
+      assertThat(calls.sendSlip("d3", key, "pay 999").body()).contains("KEY_REUSED");
       assertThat(calls.runs(key)).isEqualTo(1);
     }
   }
 
   private static HttpResponse<String> send(String daemon, String key) {
     try {
-      return calls.slip(daemon, key, BODY);
+      return calls.sendSlip(daemon, key, BODY);
     } catch (IOException | InterruptedException e) {
       throw new CompletionException(e);
     }
   }
 
-  // The service takes a slip, pays, and its answer is lost. Nobody knows whether it ran: the caller
-  // hears UNKNOWN, nothing sends it a second time, and neither does its key.
+  // The service accepts a slip and pays, and its answer is lost. Whether it ran cannot be
+  // determined: the caller gets UNKNOWN, no daemon sends the slip a second time, and a repetition
+  // with the same key does not run.
   @Test
   @Order(2)
-  void anAnswerLostAfterTheServiceTookItIsUnknownAndRanOnce() throws Exception {
+  void aLostAnswerOfAnAcceptedSlipIsUnknownAndTheSlipRunsOnce() throws Exception {
     calls.faults("{\"lose_answer\":true}");
-    assertThat(KeyedCalls.outcome(calls.slip("d1", "lost", BODY))).isEqualTo("UNKNOWN");
+    assertThat(KeyedCalls.outcome(calls.sendSlip("d1", "lost", BODY))).isEqualTo("UNKNOWN");
     calls.faults("{}");
 
-    assertThat(calls.slip("d2", "lost", BODY).body()).contains("KEY_OUTCOME_UNKNOWN");
+    assertThat(calls.sendSlip("d2", "lost", BODY).body()).contains("KEY_OUTCOME_UNKNOWN");
     assertThat(calls.runs("lost")).isEqualTo(1);
   }
 
-  // Every endpoint refuses before it begins. That proves that nothing ran: the caller hears NOT
-  // RUN, the counts are zero, and the key is free for the next try.
+  // Every endpoint refuses before it starts the request, which proves that nothing ran: the caller
+  // gets NOT RUN, the run counts are zero, and the key can be used again.
   @Test
   @Order(3)
   void aRefusalBeforeTheStartIsNotRunAndFreesTheKey() throws Exception {
     calls.faults("{\"refuse\":true}");
-    assertThat(KeyedCalls.outcome(calls.slip("d1", "refused", BODY))).isEqualTo("NOT_RUN");
+    assertThat(KeyedCalls.outcome(calls.sendSlip("d1", "refused", BODY))).isEqualTo("NOT_RUN");
     assertThat(calls.runs("refused")).isZero();
     calls.faults("{}");
 
-    assertThat(calls.slip("d2", "refused", BODY).statusCode()).isEqualTo(200);
+    assertThat(calls.sendSlip("d2", "refused", BODY).statusCode()).isEqualTo(200);
     assertThat(calls.runs("refused")).isEqualTo(1);
   }
 
-  // A slip was paid, and the home of its key is killed. Its second takes over once the home's lease
-  // has lapsed; until then the key is refused as NOT RUN, and after it as one that ran.
+  // A slip was paid, and the primary replica of its key is killed. The secondary takes over once
+  // the primary's lease has expired; until then the key is refused as NOT RUN, and afterwards as
+  // one that ran.
   @Test
   @Order(4)
-  void aKeyWhoseHomeIsKilledDoesNotRunAgain() throws Exception {
-    String home = "d3";
-    String key = keyOf(home);
-    assertThat(calls.slip("d1", key, BODY).statusCode()).isEqualTo(200);
+  void aKeyWhosePrimaryIsKilledDoesNotRunAgain() throws Exception {
+    String primary = "d3";
+    String key = keyWithPrimary(primary);
+    assertThat(calls.sendSlip("d1", key, BODY).statusCode()).isEqualTo(200);
 
-    cluster.daemon(home).process().kill();
-    HttpResponse<String> again = calls.slipOnceAsked("d2", key, BODY, LIMIT_MS);
+    cluster.daemon(primary).process().kill();
+    HttpResponse<String> again = calls.sendSlipUntilLedgerAvailable("d2", key, BODY, LIMIT_MS);
 
     assertThat(again.body()).contains("KEY_ALREADY_RAN");
     assertThat(calls.runs(key)).isEqualTo(1);
   }
 
-  private static String keyOf(String home) {
+  private static String keyWithPrimary(String primary) {
     List<DaemonId> daemons = Stream.of("d1", "d2", "d3").map(DaemonId::new).toList();
     return IntStream.range(0, 100)
         .mapToObj(i -> "home-" + i)
-        .filter(key -> Objects.equals(Ranking.rendezvous().rank(key, daemons).get(0).value(), home))
+        .filter(
+            key -> Objects.equals(Ranking.rendezvous().rank(key, daemons).get(0).value(), primary))
         .findFirst()
         .orElseThrow();
   }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestSlowCallerTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestSlowCallerTest.java
@@ -22,14 +22,15 @@
   private static final int TOKENS = 1_500;
   private static final int READ_LIMIT_MS = 10_000;
 
-  /** The stall limit of a stream is 2 s; buffers of the system take most of the first second. */
-  private static final long SILENT_MS = 7_000;
+  /** The stall limit of a stream is 2 s; system buffers absorb most of the first second. */
+  private static final long READ_PAUSE_MS = 7_000;
 
-  // Many callers ask for long answers and stop reading for seconds, as on a phone between two
-  // masts. Their answers, some 9 MB, must wait at the engine and not in the daemon, whose buffers
-  // may take 8 MB; the silence must not count as a lost owner; and each reads its whole answer.
+  // Many callers request long answers and stop reading for seconds, as on an interrupted mobile
+  // connection. Their answers, some 9 MB, must be held back at the engine and not buffered in the
+  // daemon, whose buffers may take 8 MB; the pause must not count as the loss of the owner; and
+  // each caller reads its complete answer.
   @Test
-  void callersThatStopReadingGetWholeAnswersAndTakeNoMemory() throws Exception {
+  void callersThatStopReadingGetCompleteAnswersWithinBoundedMemory() throws Exception {
     try (Cluster cluster =
         Cluster.builder()
             .daemons(1)
@@ -46,12 +47,12 @@
       List<Socket> sockets = new ArrayList<>();
       try {
         for (int i = 0; i < CALLERS; i++) {
-          sockets.add(ask(cluster.daemon("d1").callers(), i));
+          sockets.add(sendRequest(cluster.daemon("d1").callers(), i));
         }
-        // Time itself is what these callers do to the daemon; nothing is waited for here.
-        TimeUnit.MILLISECONDS.sleep(SILENT_MS);
+        // The pause itself is the input of this test; there is no condition to wait for.
+        TimeUnit.MILLISECONDS.sleep(READ_PAUSE_MS);
         for (int i = 0; i < CALLERS; i++) {
-          assertWhole(sockets.get(i), i);
+          assertComplete(sockets.get(i), i);
         }
       } finally {
         for (Socket socket : sockets) {
@@ -67,7 +68,7 @@
     return engine.json("/judge").get("accepted").getAsLong();
   }
 
-  private static Socket ask(InetSocketAddress daemon, int number) throws IOException {
+  private static Socket sendRequest(InetSocketAddress daemon, int number) throws IOException {
     Socket socket = new Socket();
     socket.setReceiveBufferSize(4_096);
     socket.setSoTimeout(READ_LIMIT_MS);
@@ -82,12 +83,12 @@
     return socket;
   }
 
-  /** A long id makes each token's event some 250 bytes. */
+  /** Returns a long id, which makes each token's event some 250 bytes. */
   private static String id(int number) {
     return "c%03d-".formatted(number) + "x".repeat(55);
   }
 
-  private static void assertWhole(Socket socket, int number) throws IOException {
+  private static void assertComplete(Socket socket, int number) throws IOException {
     InputStream in = socket.getInputStream();
     StringBuilder answer = new StringBuilder();
     byte[] buffer = new byte[65_536];
@@ -102,7 +103,7 @@
     for (int token = 0; token < TOKENS; token++) {
       at = answer.indexOf("\"index\":" + token + ",", at);
       assertThat(at).as("caller %d, token %d", number, token).isPositive();
-      assertThat(answer.indexOf("\"index\":" + token + ",", at + 1)).as("doubled").isNegative();
+      assertThat(answer.indexOf("\"index\":" + token + ",", at + 1)).as("duplicate").isNegative();
     }
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestStreamTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestStreamTest.java
@@ -50,8 +50,9 @@
         .formatted(ClusterNames.adapter(0), tokens, stream);
   }
 
-  // The engine cuts the stream right before its last token, as a proxy on the way may do. What came
-  // looks like a whole answer; it must not be handed on as one, but read to its end at the engine.
+  // The engine cuts the stream right before its last token, as a proxy on the path may do. The
+  // received part looks like a complete answer; it must not be returned as one, and the remaining
+  // token must be read from the engine.
   @Test
   @Order(1)
   void aStreamCutBeforeItsLastTokenIsReadToItsEnd() throws Exception {
@@ -63,21 +64,21 @@
             .call("POST", "/v1/completions", body(10, false));
     cluster.faults(cluster.endpoint("e1").address(), "{}");
 
-    JsonObject whole = JsonParser.parseString(answer.body()).getAsJsonObject();
-    assertThat(whole.get("outcome").getAsString()).isEqualTo("ANSWERED");
-    assertThat(whole.get("tokens").getAsInt()).isEqualTo(10);
-    assertThat(whole.get("text").getAsString()).contains("#8 ", "#9 ");
+    JsonObject complete = JsonParser.parseString(answer.body()).getAsJsonObject();
+    assertThat(complete.get("outcome").getAsString()).isEqualTo("ANSWERED");
+    assertThat(complete.get("tokens").getAsInt()).isEqualTo(10);
+    assertThat(complete.get("text").getAsString()).contains("#8 ", "#9 ");
     assertThat(engine.json("/judge").get("accepted").getAsLong() - before)
-        .as("read on, not run again")
+        .as("resumed, not run again")
         .isEqualTo(1);
   }
 
   // A caller reads a long answer through one daemon when the owner of the engine, another daemon,
-  // is killed. The engine goes on; once the lease has lapsed the next owner reads on from the first
-  // token that is missing. The caller sees a pause, and each token once.
+  // is killed. The engine continues; once the lease has expired, the next owner resumes the stream
+  // at the first missing token. The caller sees a pause, and each token once.
   @Test
   @Order(2)
-  void theOwnersDeathLosesAndDoublesNoToken() throws Exception {
+  void anOwnerCrashLosesAndDuplicatesNoToken() throws Exception {
     DaemonNode owner = owner();
     DaemonNode entry =
         cluster.daemons().stream().filter(daemon -> daemon != owner).findFirst().orElseThrow();
@@ -105,7 +106,7 @@
     assertThat(next).isEqualTo(TOKENS);
     assertThat(answered).isTrue();
     assertThat(timeline(entry))
-        .as("the entry's time line tells why the caller saw a pause")
+        .as("the entry daemon's timeline shows why the caller saw a pause")
         .containsSubsequence(
             "REQUEST_FIRST_TOKEN", "OWNERSHIP_CHANGED", "REQUEST_RETRIED", "REQUEST_ANSWERED");
   }
@@ -134,6 +135,6 @@
         return daemon;
       }
     }
-    throw new AssertionError("nobody owns the engine");
+    throw new AssertionError("no daemon owns the engine");
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RetryStormTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RetryStormTest.java
@@ -17,11 +17,11 @@
 class RetryStormTest {
 
   private static final long LIMIT_MS = 30_000;
-  private static final long LOOK_MS = 20;
+  private static final long POLL_INTERVAL_MS = 20;
   private static final int CALLS = 600;
 
-  /** The daemons' own: one in ten, and a burst of 20 in each shard. */
-  private static final int BUDGET = CALLS / 10 + 20 * 2;
+  /** The daemons' retry budget: one in ten calls, and a burst of 20 in each shard. */
+  private static final int RETRY_BUDGET = CALLS / 10 + 20 * 2;
 
   private static long runs(Cluster cluster) throws Exception {
     long runs = 0;
@@ -48,19 +48,19 @@
             ClusterNames.SLIPS,
             new ObjectValues.Service(null, List.of(), endpoints, true, "INTERACTIVE", 100_000));
     for (DaemonNode daemon : cluster.daemons()) {
-      for (long looks = LIMIT_MS / LOOK_MS; revision(cluster, daemon) <= before; looks--) {
-        assertThat(looks).as("%s learns of the change", daemon.id()).isPositive();
-        Thread.sleep(LOOK_MS);
+      for (long polls = LIMIT_MS / POLL_INTERVAL_MS; revision(cluster, daemon) <= before; polls--) {
+        assertThat(polls).as("%s receives the change", daemon.id()).isPositive();
+        Thread.sleep(POLL_INTERVAL_MS);
       }
     }
   }
 
-  // One of three endpoints takes each call and cuts the connection. Its callers' calls may run
-  // twice, so each goes on elsewhere; without a circuit every third call finds the dead endpoint
-  // out anew, the retry budget is used up by that, and the rest of these callers hear UNKNOWN. The
-  // judges count what arrived beyond the first of each call: it has to stay inside the budget.
+  // One of three endpoints accepts each call and cuts the connection. The calls are repeatable, so
+  // each is retried on another endpoint. Without a circuit breaker every third call runs into the
+  // failed endpoint anew, the retry budget is exhausted, and the remaining callers get UNKNOWN. The
+  // arrivals beyond the first of each call, counted at the endpoints, must stay within the budget.
   @Test
-  void aThirdOfTheEndpointsDiesWithoutAStorm() throws Exception {
+  void aFailedThirdOfTheEndpointsCausesNoRetryStorm() throws Exception {
     try (Cluster cluster =
         Cluster.builder().daemons(2).engines(0).services(3).daemonFlags("--threads", "1").start()) {
       cluster.awaitServing(LIMIT_MS);
@@ -77,10 +77,10 @@
       long beyondFirst = runs(cluster) - before - CALLS;
       System.out.printf(
           "storm: answered %d of %d, arrivals beyond the first %d, budget %d%n",
-          answered, CALLS, beyondFirst, BUDGET);
+          answered, CALLS, beyondFirst, RETRY_BUDGET);
       assertThat(answered).as("answered").isEqualTo(CALLS);
-      assertThat(beyondFirst).as("the fault was met").isPositive();
-      assertThat(beyondFirst).as("arrivals beyond the first").isLessThanOrEqualTo(BUDGET);
+      assertThat(beyondFirst).as("the fault took effect").isPositive();
+      assertThat(beyondFirst).as("arrivals beyond the first").isLessThanOrEqualTo(RETRY_BUDGET);
     }
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/StalePeer.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/StalePeer.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Speaks to a daemon as a peer that pushes what the test gives it; used by one thread. */
+/** Connects to a daemon as a peer and pushes the objects given by a test. Not thread-safe. */
 final class StalePeer implements AutoCloseable {
 
   private static final long CONNECT_LIMIT_MS = 5_000;
@@ -59,12 +59,12 @@
 
     @Override
     public void received(PeerChannel channel, PeerMessage message) {
-      // What the daemon answers does not matter.
+      // The daemon's replies are irrelevant to the tests.
     }
 
     @Override
     public void writabilityChanged(PeerChannel channel) {
-      // Little is written.
+      // Too little is written for backpressure.
     }
 
     @Override
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/StopTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/StopTest.java
@@ -23,10 +23,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Callers see requests refused or streams end early when hosts are replaced: a daemon told to stop
- * closes with requests under way, or its endpoints have no owner until its lease runs out. Here
- * daemons are stopped under load, two at once and then the third, by SIGTERM and by order, each
- * replaced by a new process. A planned stop first hands everything over, so every answer is whole.
+ * Verifies that planned stops cut off no request. Callers see requests refused or streams end early
+ * if a stopping daemon closes with requests in flight, or if its endpoints have no owner until its
+ * lease expires.
+ *
+ * <p>Daemons are stopped under load, two at once and then the third, by SIGTERM and by order, and
+ * each is replaced by a new process. A planned stop first hands everything over, so every answer is
+ * complete.
  */
 class StopTest {
 
@@ -48,8 +51,8 @@
             .start()) {
       cluster.awaitServing(LIMIT_MS);
       OwnershipProbe probe = new OwnershipProbe(cluster);
-      ScheduledExecutorService looks = Executors.newSingleThreadScheduledExecutor();
-      try (Balancer balancer = new Balancer(cluster, probe, looks);
+      ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
+      try (Balancer balancer = new Balancer(cluster, probe, scheduler);
           LoadTool tool = LoadTool.through(balancer::pick)) {
         tool.start(requests());
         DaemonNode first = cluster.daemon("d1");
@@ -58,7 +61,9 @@
         cluster.http().send(HttpCall.to(second.operators(), "POST", "/drain"));
         first.process().awaitExit(LIMIT_MS);
         second.process().awaitExit(LIMIT_MS);
-        assertThat(probe.owned(cluster.daemon("d3"))).as("owned by the one left").isEqualTo(4);
+        assertThat(probe.owned(cluster.daemon("d3")))
+            .as("owned by the remaining daemon")
+            .isEqualTo(4);
         assertThat(leaseExists(cluster, "d1")).as("lease of a stopped daemon").isFalse();
         cluster.restart(first);
         cluster.restart(second);
@@ -82,7 +87,7 @@
     return cluster.http().send(call).ok();
   }
 
-  /** Short requests at a steady rate, and each second one long stream. */
+  /** Returns short requests at a steady rate, and one long stream each second. */
   private static List<PlannedRequest> requests() {
     List<PlannedRequest> requests =
         new ArrayList<>(new LoadPlan(SECONDS, RATE, ADAPTERS, 1, 10, 0, 0, 0, 4).requests());
@@ -102,25 +107,26 @@
     return requests;
   }
 
-  /** Sends to daemons that showed readiness at its last look, as the platform's balancer does. */
+  /** Selects daemons that were ready at its last poll, as the platform's load balancer does. */
   private static final class Balancer implements AutoCloseable {
 
-    private static final long LOOK_MS = 500;
+    private static final long POLL_INTERVAL_MS = 500;
 
     private final Cluster cluster;
     private final OwnershipProbe probe;
-    private final ScheduledExecutorService looks;
+    private final ScheduledExecutorService scheduler;
     private volatile List<InetSocketAddress> ready;
 
-    Balancer(Cluster cluster, OwnershipProbe probe, ScheduledExecutorService looks) {
+    Balancer(Cluster cluster, OwnershipProbe probe, ScheduledExecutorService scheduler) {
       this.cluster = cluster;
       this.probe = probe;
-      this.looks = looks;
+      this.scheduler = scheduler;
       this.ready = cluster.daemons().stream().map(DaemonNode::callers).toList();
-      looks.scheduleAtFixedRate(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+      scheduler.scheduleAtFixedRate(
+          this::refresh, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void look() {
+    private void refresh() {
       List<InetSocketAddress> found = new ArrayList<>();
       try {
         for (DaemonNode daemon : cluster.daemons()) {
@@ -137,13 +143,13 @@
     }
 
     InetSocketAddress pick(int number) {
-      List<InetSocketAddress> now = ready;
-      return now.get(number % now.size());
+      List<InetSocketAddress> targets = ready;
+      return targets.get(number % targets.size());
     }
 
     @Override
     public void close() {
-      looks.shutdownNow();
+      scheduler.shutdownNow();
     }
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/TimelineFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/TimelineFailureTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What the merged time line tells of a failure. */
+/** Verifies what the merged timeline shows of a failure. */
 class TimelineFailureTest {
 
   private static final long LIMIT_MS = 20_000;
@@ -28,17 +28,17 @@
   private static final int TOKENS = 600;
 
   // A caller waits for a long answer when the owner of the engine, another daemon, is killed. It
-  // sees one whole answer, late. The merged time line of the daemons that are left tells why: the
-  // attempt's first tokens came, its owner was lost, the endpoint went to another daemon, and a
-  // second attempt read on there; the events of the dead daemon are missing.
+  // gets one complete answer, late. The merged timeline of the remaining daemons shows why: the
+  // first tokens of the attempt arrived, its owner was lost, the endpoint moved to another daemon,
+  // and a second attempt resumed there. The events of the failed daemon are missing.
   @Test
-  void theMergedTimelineTellsWhyAnAnswerCameLate() throws Exception {
+  void theMergedTimelineShowsWhyAnAnswerWasLate() throws Exception {
     try (Cluster cluster = Cluster.builder().daemons(3).engines(1).adapters(1).start()) {
       cluster.awaitServing(LIMIT_MS);
       OwnershipProbe probe = new OwnershipProbe(cluster);
       DaemonNode owner = owner(cluster, probe);
       List<DaemonNode> others = cluster.daemons().stream().filter(d -> d != owner).toList();
-      CompletableFuture<String> answer = ask(cluster, others.get(0));
+      CompletableFuture<String> answer = sendRequest(cluster, others.get(0));
       probe.await("tokens", LIMIT_MS, () -> kinds(cluster, others).contains("REQUEST_FIRST_TOKEN"));
       owner.process().kill();
 
@@ -57,7 +57,7 @@
     }
   }
 
-  private static CompletableFuture<String> ask(Cluster cluster, DaemonNode entry) {
+  private static CompletableFuture<String> sendRequest(Cluster cluster, DaemonNode entry) {
     String body =
         "{\"model\":\"%s\",\"prompt\":\"p\",\"max_tokens\":%d}"
             .formatted(ClusterNames.adapter(0), TOKENS);
@@ -98,7 +98,7 @@
     return fields.has(name) ? fields.get(name).getAsString() : "";
   }
 
-  /** Merges as the operators' command does; on one host the clocks are the same. */
+  /** Merges as the operators' command does; on one host the clock offsets are zero. */
   private static List<JsonElement> merged(Cluster cluster, List<DaemonNode> daemons)
       throws Exception {
     List<MergedTimeline.Source> sources = new ArrayList<>();
@@ -118,6 +118,6 @@
         return daemon;
       }
     }
-    throw new AssertionError("nobody owns the engine");
+    throw new AssertionError("no daemon owns the engine");
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/VersionFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/VersionFailureTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What callers see while operators change the version in force. */
+/** Verifies what callers see while operators change the version in force. */
 class VersionFailureTest {
 
   private static final long LIMIT_MS = 20_000;
@@ -30,13 +30,13 @@
   private static final int CHANGES = 6;
   private static final int TOKENS = 60;
 
-  // Operators change the version in force of every adapter again and again while requests run;
-  // slots are too few for all versions. Callers that name the former version get its whole answer,
-  // also while the other is in force. A caller that names none gets one whole answer of one
-  // version,
-  // the one that its answer states, since a request keeps the snapshot it began with.
+  // Operators repeatedly change the version in force of every adapter while requests run; slots are
+  // too few for all versions. Callers that name the former version get a complete answer from it,
+  // also while the other version is in force. A caller that names none gets one complete answer of
+  // one version, the one that its answer states, since a request keeps the snapshot it started
+  // with.
   @Test
-  void aVersionChangeDuringRequestsMixesNoAnswer() throws Exception {
+  void aVersionChangeDuringRequestsMixesNoVersionsInAnAnswer() throws Exception {
     try (Cluster cluster =
             Cluster.builder()
                 .daemons(2)
@@ -52,10 +52,11 @@
       for (int change = 0; change < CHANGES; change++) {
         long before = accepted(probe);
         for (int adapter = 0; adapter < ADAPTERS; adapter++) {
-          unnamed.add(ask(cluster, adapter));
+          unnamed.add(sendRequest(cluster, adapter));
         }
         probe.await("work", LIMIT_MS, () -> accepted(probe) >= before + 5);
-        put(cluster, change % 2 == 0 ? ClusterNames.FORMER_VERSION : ClusterNames.CURRENT_VERSION);
+        putVersionInForce(
+            cluster, change % 2 == 0 ? ClusterNames.FORMER_VERSION : ClusterNames.CURRENT_VERSION);
       }
       LoadReport report = Judgement.of(cluster).apply(tool.await(LIMIT_MS));
 
@@ -70,7 +71,7 @@
     }
   }
 
-  private static CompletableFuture<HttpAnswer> ask(Cluster cluster, int adapter) {
+  private static CompletableFuture<HttpAnswer> sendRequest(Cluster cluster, int adapter) {
     String body =
         "{\"model\":\"%s\",\"prompt\":\"p\",\"max_tokens\":%d}"
             .formatted(ClusterNames.adapter(adapter), TOKENS);
@@ -86,7 +87,10 @@
         });
   }
 
-  /** Returns the one version of a whole answer: each token's text names what made it. */
+  /**
+   * Returns the single version of a complete answer: each token's text names the version that
+   * generated it.
+   */
   private static String versionOf(HttpAnswer answer) {
     assertThat(answer.status()).as(answer.text()).isEqualTo(200);
     String version = answer.headers().get("Adapter-Version");
@@ -95,10 +99,10 @@
   }
 
   private static long accepted(OwnershipProbe probe) throws Exception {
-    return probe.judged("e1", "accepted") + probe.judged("e2", "accepted");
+    return probe.auditCounter("e1", "accepted") + probe.auditCounter("e2", "accepted");
   }
 
-  private static void put(Cluster cluster, String inForce) throws Exception {
+  private static void putVersionInForce(Cluster cluster, String inForce) throws Exception {
     List<String> versions = List.of(ClusterNames.FORMER_VERSION, ClusterNames.CURRENT_VERSION);
     for (int i = 0; i < ADAPTERS; i++) {
       cluster
