--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OverloadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OverloadTest.java
@@ -178,9 +178,9 @@
 
     // One service sends three times the engine's capacity, another a quarter of it. With one queue
     // for both, instead of fair queueing by service, the quiet service's callers would get answers
-    // after their deadline or none; only its batch requests may yield to the flood. The flood's
-    // callers get NOT RUN immediately, with a time to retry after, and the engine must have no
-    // record of a request that was reported as NOT RUN.
+    // after their deadline or none; only its batch requests, for which no caller waits, may yield
+    // to the flood. The flood's callers get NOT RUN immediately, with a time to retry after, and
+    // the engine must have no record of a request that was reported as NOT RUN.
     @Test
     void theOtherServiceIsAnsweredInTimeAndRefusalsAreImmediate() throws Exception {
       try (Cluster cluster = cluster();
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/StopTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/StopTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Verifies that planned stops cut off no request. Callers see requests refused or streams end early
- * if a stopping daemon closes with requests in flight, or if its endpoints have no owner until its
- * lease expires.
+ * Verifies that planned stops cut off no request. When hosts are replaced, callers see requests
+ * refused or streams end early if a stopping daemon closes with requests in flight, or if its
+ * endpoints have no owner until its lease expires.
  *
  * <p>Daemons are stopped under load, two at once and then the third, by SIGTERM and by order, and
  * each is replaced by a new process. A planned stop first hands everything over, so every answer is
