--- a/coordination/src/main/java/io/sequoiapass/coordination/version/FanOut.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/version/FanOut.java
@@ -13,7 +13,7 @@
  * <pre>{@code
  * List<DaemonId> order = FanOut.order(self, neighbours, live);
  * for (FanOut.Branch branch : FanOut.branches(order)) {
- *   send(branch.child(), push.passedOnTo(branch.rest()));
+ *   send(branch.child(), push.withForwardTo(branch.rest()));
  * }
  * }</pre>
  *
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpServer.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/HttpServer.java
@@ -90,7 +90,7 @@
   }
 
   /** Closes the connections on which no request is being received or processed. */
-  public void closeResting() {
+  public void closeIdle() {
     for (Channel connection : connections) {
       ConnectionTimeoutHandler timeouts = connection.pipeline().get(ConnectionTimeoutHandler.class);
       connection
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/ControlFrames.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/ControlFrames.java
@@ -32,8 +32,8 @@
       }
       out.packBoolean(push.complete());
       out.packBoolean(push.ready());
-      out.packArrayHeader(push.passOnTo().size());
-      for (DaemonId daemon : push.passOnTo()) {
+      out.packArrayHeader(push.forwardTo().size());
+      for (DaemonId daemon : push.forwardTo()) {
         out.packString(daemon.value());
       }
     } else if (message instanceof PeerMessage.ObjectsRequest request) {
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/LedgerFrames.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/LedgerFrames.java
@@ -58,12 +58,12 @@
       write(out, answer.holder());
       out.packString(answer.step().name());
       out.packString(answer.refusal().map(ErrorKind::name).orElse(""));
-    } else if (message instanceof LedgerMessage.AskHolder ask) {
+    } else if (message instanceof LedgerMessage.QueryHolder ask) {
       out.packInt(QUERY_HOLDER);
-      write(out, ask.key(), ask.holder(), ask.asker());
+      write(out, ask.key(), ask.holder(), ask.requester());
     } else if (message instanceof LedgerMessage.StillOpen open) {
       out.packInt(STILL_OPEN);
-      write(out, open.key(), open.holder(), open.asker());
+      write(out, open.key(), open.holder(), open.requester());
     } else {
       writeReplicaMessage(out, message);
     }
@@ -79,7 +79,7 @@
       write(out, copied.by());
       out.packString(copied.key().value());
       out.packLong(copied.sequence());
-    } else if (message instanceof LedgerMessage.AskRecords ask) {
+    } else if (message instanceof LedgerMessage.RequestRecords ask) {
       out.packInt(REQUEST_RECORDS);
       write(out, ask.by());
       out.packLong(ask.view());
@@ -97,7 +97,7 @@
         write(out, loss.left());
         out.packLong(loss.remainingMillis());
       }
-      out.packBoolean(records.seasoned());
+      out.packBoolean(records.retentionElapsed());
     }
   }
 
@@ -148,11 +148,11 @@
       case ANSWER ->
           new LedgerMessage.Answer(
               key(in), holder(in), in.constant(LedgerMessage.Step.class), refusal(in));
-      case QUERY_HOLDER -> new LedgerMessage.AskHolder(key(in), holder(in), holder(in));
+      case QUERY_HOLDER -> new LedgerMessage.QueryHolder(key(in), holder(in), holder(in));
       case STILL_OPEN -> new LedgerMessage.StillOpen(key(in), holder(in), holder(in));
       case COPY -> new LedgerMessage.Copy(record(in));
       case COPIED -> new LedgerMessage.Copied(member(in), key(in), in.longNumber());
-      case REQUEST_RECORDS -> new LedgerMessage.AskRecords(member(in), in.longNumber());
+      case REQUEST_RECORDS -> new LedgerMessage.RequestRecords(member(in), in.longNumber());
       case RECORDS ->
           new LedgerMessage.Records(
               member(in),
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerMessage.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/peer/PeerMessage.java
@@ -81,7 +81,7 @@
       implements PeerMessage {
 
     /** Returns a copy of this heartbeat with another value of {@code cutOff}. */
-    public Heartbeat cutOff(boolean newCutOff) {
+    public Heartbeat withCutOff(boolean newCutOff) {
       return new Heartbeat(
           incarnation, draining, configuration, platform, sentMs, weightDemand, newCutOff);
     }
@@ -276,18 +276,19 @@
    * @param complete whether these are all objects in which the two daemons differ, as in the answer
    *     to a request
    * @param ready whether the sender's own configuration is complete
-   * @param passOnTo the daemons to which the receiver forwards the push
+   * @param forwardTo the daemons to which the receiver forwards the push
    */
-  record ObjectsPush(List<String> objects, boolean complete, boolean ready, List<DaemonId> passOnTo)
+  record ObjectsPush(
+      List<String> objects, boolean complete, boolean ready, List<DaemonId> forwardTo)
       implements PeerMessage {
     /** Copies the lists. */
     public ObjectsPush {
       objects = List.copyOf(objects);
-      passOnTo = List.copyOf(passOnTo);
+      forwardTo = List.copyOf(forwardTo);
     }
 
     /** Returns a copy of this push with other daemons to forward it to. */
-    public ObjectsPush passedOnTo(List<DaemonId> others) {
+    public ObjectsPush withForwardTo(List<DaemonId> others) {
       return new ObjectsPush(objects, complete, ready, others);
     }
 
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/HostList.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/platform/HostList.java
@@ -51,7 +51,7 @@
    * @param dataCentre the data centre
    * @throws ObjectFormatException if an entry cannot be read
    */
-  public List<HostReport> of(DataCentreId dataCentre) throws ObjectFormatException {
+  public List<HostReport> reportsFor(DataCentreId dataCentre) throws ObjectFormatException {
     try {
       return hosts.stream()
           .filter(host -> dataCentre.value().equals(host.dataCentre()))
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/ControlRounds.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/ControlRounds.java
@@ -95,7 +95,8 @@
 
   private void sendHeartbeat(DaemonId peer) {
     peers.send(
-        peer, ownership.heartbeat(peer, configuration.root(), 0).cutOff(configuration.isCutOff()));
+        peer,
+        ownership.heartbeat(peer, configuration.root(), 0).withCutOff(configuration.isCutOff()));
   }
 
   /** Returns whether all owners have been connected at the same time, or the wait has timed out. */
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationNode.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/ConfigurationNode.java
@@ -280,7 +280,7 @@
 
   private void forward(PeerMessage.ObjectsPush push, List<DaemonId> order) {
     for (FanOut.Branch branch : FanOut.branches(order)) {
-      peers.send(branch.child(), push.passedOnTo(branch.rest()));
+      peers.send(branch.child(), push.withForwardTo(branch.rest()));
     }
   }
 
@@ -307,7 +307,7 @@
   public void objectsPushed(DaemonId peer, PeerMessage.ObjectsPush push) {
     // Forwarded even if nothing in it is new here: the other watcher's copy may have arrived first,
     // and that copy was forwarded to different peers.
-    forward(push, push.passOnTo());
+    forward(push, push.forwardTo());
     List<ConfigurationObject> objects = new ArrayList<>();
     for (String text : push.objects()) {
       try {
--- a/daemon/src/main/java/io/sequoiapass/daemon/version/HostListFeed.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/version/HostListFeed.java
@@ -84,7 +84,7 @@
       reachability.succeeded();
       try {
         if (answer.isPresent()) {
-          last = answer.get().of(dataCentre);
+          last = answer.get().reportsFor(dataCentre);
           tag = answer.get().tag();
         }
         backoff.reset();
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/Gateway.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/Gateway.java
@@ -340,7 +340,7 @@
     while (clock.millis() < latest) {
       boolean polledLongEnough = clock.millis() - startedAt >= MIN_STOP_MS;
       if (polledLongEnough) {
-        callerServer.closeResting();
+        callerServer.closeIdle();
       }
       if (polledLongEnough && callers.inFlight() == 0 && callerServer.openConnections() == 0) {
         break;
--- a/testbed/src/main/java/io/sequoiapass/testbed/DemoCommand.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/DemoCommand.java
@@ -4,7 +4,7 @@
 import io.sequoiapass.testbed.cli.UsageException;
 import io.sequoiapass.testbed.launch.Cluster;
 import io.sequoiapass.testbed.launch.DaemonNode;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -100,15 +100,15 @@
                 + ", ended "
                 + soFar.results().size()
                 + ", whole "
-                + soFar.count(Verdict.WHOLE));
+                + soFar.count(Verdict.COMPLETE));
       }
       LoadReport told = tool.await(ANSWERS_LIMIT_MS);
-      Judgement judgement = Judgement.of(cluster);
-      return tell(plan, judgement.apply(told), judgement);
+      ConsistencyChecker checker = ConsistencyChecker.of(cluster);
+      return tell(plan, checker.apply(told), checker);
     }
   }
 
-  private static int tell(LoadPlan plan, LoadReport report, Judgement judgement) {
+  private static int tell(LoadPlan plan, LoadReport report, ConsistencyChecker checker) {
     long wrong = report.count(Verdict.WRONG);
     long unknown = report.count(Verdict.UNKNOWN);
     Histogram firstTokens = report.firstTokens(DemoCommand::wholeCompletion);
@@ -119,9 +119,9 @@
             result -> wholeCompletion(result) && result.request().atMicros() >= half);
     long stalls = firstTokens.getCountBetweenValues(STALL_MICROS, Long.MAX_VALUE);
     report.reasons(REASONS).forEach(reason -> System.out.println("  " + reason));
-    judgement.violationDetails().forEach(detail -> System.out.println("  violation: " + detail));
+    checker.violationDetails().forEach(detail -> System.out.println("  violation: " + detail));
     row("requests", Long.toString(report.sent()));
-    row("right adapter, whole answer", Long.toString(report.count(Verdict.WHOLE)));
+    row("right adapter, whole answer", Long.toString(report.count(Verdict.COMPLETE)));
     row("wrong", Long.toString(wrong));
     row("not run", Long.toString(report.count(Verdict.NOT_RUN)));
     row("unknown", Long.toString(unknown));
@@ -130,23 +130,23 @@
     row("first token p95", millis(firstTokens.getValueAtPercentile(95)));
     row("first token p95, second half", millis(warm.getValueAtPercentile(95)));
     row("load stalls (over 200 ms)", stalls + " of " + firstTokens.getTotalCount());
-    row("loads, evictions", judgement.loads() + ", " + judgement.evictions());
-    row("evictions while serving", Long.toString(judgement.violations()));
-    row("batch efficiency, streams a step", "%.2f".formatted(judgement.streamsPerStep()));
-    row("adapters a step", "%.2f".formatted(judgement.adaptersPerStep()));
+    row("loads, evictions", checker.loads() + ", " + checker.evictions());
+    row("evictions while serving", Long.toString(checker.violations()));
+    row("batch efficiency, streams a step", "%.2f".formatted(checker.streamsPerStep()));
+    row("adapters a step", "%.2f".formatted(checker.adaptersPerStep()));
     System.out.printf(
         "demo: sent=%d whole=%d wrong=%d not_run=%d unknown=%d%n",
         report.sent(),
-        report.count(Verdict.WHOLE),
+        report.count(Verdict.COMPLETE),
         wrong,
         report.count(Verdict.NOT_RUN),
         unknown + report.unanswered());
-    boolean kept = wrong == 0 && report.unanswered() == 0 && judgement.violations() == 0;
+    boolean kept = wrong == 0 && report.unanswered() == 0 && checker.violations() == 0;
     return kept ? 0 : 1;
   }
 
   private static boolean wholeCompletion(RequestResult result) {
-    return result.verdict() == Verdict.WHOLE && result.request().adapter().isPresent();
+    return result.verdict() == Verdict.COMPLETE && result.request().adapter().isPresent();
   }
 
   private static void row(String name, String value) {
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/AnswerCheck.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/AnswerCheck.java
@@ -159,7 +159,7 @@
     } else if (!expectedAdapter().equals(end.adapter()) || !expectedVersion.equals(end.version())) {
       report(Verdict.WRONG, "ended by " + end.adapter() + "@" + end.version());
     } else {
-      report(Verdict.WHOLE, "");
+      report(Verdict.COMPLETE, "");
     }
   }
 
@@ -171,7 +171,7 @@
       boolean own =
           plain.requestId().startsWith(request.id() + INTERNAL_ID_SEPARATOR)
               && plain.idempotencyKey().equals(request.keyed() ? request.id() : "");
-      report(own ? Verdict.WHOLE : Verdict.WRONG, own ? "" : "answer to " + plain.requestId());
+      report(own ? Verdict.COMPLETE : Verdict.WRONG, own ? "" : "answer to " + plain.requestId());
     } catch (JsonSyntaxException | NullPointerException e) {
       report(Verdict.WRONG, "unreadable answer: " + body.toString(StandardCharsets.UTF_8));
     }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/Judgement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/ConsistencyChecker.java
@@ -18,16 +18,16 @@
  * stand-in keeps its record in memory, so violations on a process that was replaced since can be
  * missed. Instances are immutable.
  */
-public final class Judgement {
+public final class ConsistencyChecker {
 
   private static final char INTERNAL_ID_SEPARATOR = '~';
 
-  private final List<JudgeReport.Engine> engines;
+  private final List<EndpointReport.Engine> engines;
   private final Map<String, List<String>> adaptersByRequest;
   private final Map<String, Integer> runsByRequest;
 
-  Judgement(
-      List<JudgeReport.Engine> engines,
+  ConsistencyChecker(
+      List<EndpointReport.Engine> engines,
       Map<String, List<String>> adaptersByRequest,
       Map<String, Integer> runsByRequest) {
     this.engines = engines;
@@ -42,16 +42,16 @@
    * @throws IOException if an endpoint does not answer
    * @throws InterruptedException if the wait is interrupted
    */
-  public static Judgement of(Cluster cluster) throws IOException, InterruptedException {
-    List<JudgeReport.Engine> engines = new ArrayList<>();
+  public static ConsistencyChecker of(Cluster cluster) throws IOException, InterruptedException {
+    List<EndpointReport.Engine> engines = new ArrayList<>();
     Map<String, List<String>> adapters = new HashMap<>();
     Map<String, Integer> runs = new HashMap<>();
     for (EndpointNode node : cluster.endpoints()) {
       HttpCall call = HttpCall.to(node.address(), "GET", "/judge");
       if (node.kind() == EndpointKind.ENGINE) {
-        JudgeReport.Engine engine = cluster.http().read(call, JudgeReport.Engine.class);
+        EndpointReport.Engine engine = cluster.http().read(call, EndpointReport.Engine.class);
         engines.add(engine);
-        for (JudgeReport.Run run : engine.runs()) {
+        for (EndpointReport.Run run : engine.runs()) {
           String id = callerId(run.requestId());
           runs.merge(id, run.count(), Integer::sum);
           adapters
@@ -59,11 +59,11 @@
               .add(run.adapter() + "@" + run.version());
         }
       } else {
-        JudgeReport.Service service = cluster.http().read(call, JudgeReport.Service.class);
+        EndpointReport.Service service = cluster.http().read(call, EndpointReport.Service.class);
         service.runsByRequest().forEach((id, n) -> runs.merge(callerId(id), n, Integer::sum));
       }
     }
-    return new Judgement(List.copyOf(engines), adapters, runs);
+    return new ConsistencyChecker(List.copyOf(engines), adapters, runs);
   }
 
   private static String callerId(String internalId) {
@@ -102,7 +102,7 @@
 
   /** Returns the number of evictions of adapters that were serving requests. */
   public long violations() {
-    return engines.stream().mapToLong(JudgeReport.Engine::violations).sum();
+    return engines.stream().mapToLong(EndpointReport.Engine::violations).sum();
   }
 
   /** Returns a description of each recorded eviction of a serving adapter. */
@@ -114,17 +114,17 @@
 
   /** Returns the number of adapter loads over all engines. */
   public long loads() {
-    return engines.stream().mapToLong(JudgeReport.Engine::loads).sum();
+    return engines.stream().mapToLong(EndpointReport.Engine::loads).sum();
   }
 
   /** Returns the number of evictions over all engines. */
   public long evictions() {
-    return engines.stream().mapToLong(JudgeReport.Engine::evictions).sum();
+    return engines.stream().mapToLong(EndpointReport.Engine::evictions).sum();
   }
 
   /** Returns the number of tokens that all engines generated. */
   public long tokens() {
-    return engines.stream().mapToLong(JudgeReport.Engine::tokens).sum();
+    return engines.stream().mapToLong(EndpointReport.Engine::tokens).sum();
   }
 
   /** Returns the mean number of streams in a step, over all steps of all engines. */
@@ -138,7 +138,7 @@
   }
 
   private double perStep(double sum) {
-    long steps = engines.stream().mapToLong(JudgeReport.Engine::steps).sum();
+    long steps = engines.stream().mapToLong(EndpointReport.Engine::steps).sum();
     return steps == 0 ? 0 : sum / steps;
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/JudgeReport.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/EndpointReport.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /** Reports of the stand-ins on what they ran, with the field names of their JSON form. */
-final class JudgeReport {
+final class EndpointReport {
 
-  private JudgeReport() {}
+  private EndpointReport() {}
 
   /** Counters and runs of an engine. */
   record Engine(
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/LoadReport.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/LoadReport.java
@@ -86,7 +86,7 @@
   public List<String> reasons(int limit) {
     Map<String, Integer> counts = new TreeMap<>();
     results.stream()
-        .filter(result -> result.verdict() != Verdict.WHOLE)
+        .filter(result -> result.verdict() != Verdict.COMPLETE)
         .forEach(result -> counts.merge(reason(result), 1, Integer::sum));
     return counts.entrySet().stream()
         .sorted(Map.Entry.comparingByValue(Comparator.reverseOrder()))
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/Verdict.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/Verdict.java
@@ -3,7 +3,7 @@
 /** Class of a request's result, as seen by its caller. */
 public enum Verdict {
   /** The complete answer arrived, from the requested adapter and version. */
-  WHOLE,
+  COMPLETE,
   /** The answer, or the outcome that was reported to the caller, was wrong. */
   WRONG,
   /** The request was reported as not run, or the caller could not connect. */
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/DaemonMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/DaemonMeasurement.java
@@ -103,7 +103,7 @@
       double sent = (tool.sent() - sentBefore) / used.seconds / DAEMONS;
       LoadReport report = tool.await(ANSWERS_LIMIT_MS);
       double tokens = sent * meanTokens(report);
-      long incomplete = report.sent() - report.count(Verdict.WHOLE);
+      long incomplete = report.sent() - report.count(Verdict.COMPLETE);
       printRow(name, used, sent, tokens, incomplete);
       report.reasons(3).forEach(System.out::println);
       return incomplete == 0;
@@ -124,7 +124,7 @@
 
   private static double meanTokens(LoadReport report) {
     List<RequestResult> complete =
-        report.results().stream().filter(result -> result.verdict() == Verdict.WHOLE).toList();
+        report.results().stream().filter(result -> result.verdict() == Verdict.COMPLETE).toList();
     return complete.stream().mapToInt(result -> result.request().maxTokens()).average().orElse(0);
   }
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultsMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultsMeasurement.java
@@ -1,7 +1,7 @@
 package io.sequoiapass.testbed.measure;
 
 import io.sequoiapass.testbed.launch.Cluster;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -67,7 +67,7 @@
         long start = System.nanoTime();
         tool.start(requests);
         List<InjectedFault> injected = faults.run(start);
-        LoadReport report = Judgement.of(cluster).apply(tool.await(ANSWERS_LIMIT_MS));
+        LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(ANSWERS_LIMIT_MS));
         return print(report, injected);
       }
     }
@@ -104,7 +104,7 @@
         lost,
         report.count(Verdict.NOT_RUN),
         report.unanswered(),
-        report.sent() - report.count(Verdict.WHOLE),
+        report.sent() - report.count(Verdict.COMPLETE),
         at,
         inFlight);
     System.out.printf(
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/OverloadMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/OverloadMeasurement.java
@@ -119,7 +119,7 @@
     LoadReport report = send(cluster, BURST_SECONDS, BURST_RATE, LONG_DEADLINE_MS);
     List<RequestResult> ended =
         report.results().stream()
-            .filter(result -> result.verdict() == Verdict.WHOLE)
+            .filter(result -> result.verdict() == Verdict.COMPLETE)
             .sorted(Comparator.comparingLong(OverloadMeasurement::endMicros))
             .toList();
     // Excludes the start and end of the burst, where the batch is not full.
@@ -143,7 +143,7 @@
     List<RequestResult> all = report.results();
     List<RequestResult> answered = all.stream().filter(this::inTime).toList();
     long inTime = answered.size();
-    long late = report.count(Verdict.WHOLE) - inTime;
+    long late = report.count(Verdict.COMPLETE) - inTime;
     List<RequestResult> priority =
         all.stream().filter(result -> result.request().priority().equals("DEADLINE")).toList();
     double goodput = tokensOf(answered) / (double) seconds / capacity;
@@ -154,7 +154,7 @@
         perSecond(report.sent()),
         perSecond(inTime),
         100 * goodput,
-        p95(all, Verdict.WHOLE),
+        p95(all, Verdict.COMPLETE),
         perSecond(report.count(Verdict.NOT_RUN)),
         p95(all, Verdict.NOT_RUN),
         perSecond(late),
@@ -168,7 +168,7 @@
   }
 
   private boolean inTime(RequestResult result) {
-    return result.verdict() == Verdict.WHOLE
+    return result.verdict() == Verdict.COMPLETE
         && result.tookMicros() <= TimeUnit.MILLISECONDS.toMicros(deadlineMs);
   }
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/VariantMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/VariantMeasurement.java
@@ -3,7 +3,7 @@
 import io.sequoiapass.testbed.launch.Cluster;
 import io.sequoiapass.testbed.launch.DaemonNode;
 import io.sequoiapass.testbed.launch.ProcessStats;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -69,17 +69,17 @@
   }
 
   private void measureRow(Cluster cluster, String value) throws IOException, InterruptedException {
-    Judgement before = Judgement.of(cluster);
+    ConsistencyChecker before = ConsistencyChecker.of(cluster);
     long cpuBefore = cpuMillis(cluster);
     LoadReport report = runLoad(cluster, size.load());
     double cpu = (cpuMillis(cluster) - cpuBefore) / (double) report.sent();
-    Judgement after = Judgement.of(cluster);
+    ConsistencyChecker after = ConsistencyChecker.of(cluster);
     Histogram firstTokens = report.firstTokens(result -> true);
     System.out.printf(
         "| %s | %d | %d | %.1f | %.1f | %.1f | %d | %d | %.2f | %.2f | %.2f | %.0f |%n",
         value,
         report.sent(),
-        report.count(Verdict.WHOLE),
+        report.count(Verdict.COMPLETE),
         report.results().stream().mapToLong(VariantMeasurement::waited).sum() / MICROS_PER_SECOND,
         firstTokens.getValueAtPercentile(50) / MICROS_PER_MILLI,
         firstTokens.getValueAtPercentile(95) / MICROS_PER_MILLI,
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/AdaptivePolicy.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/AdaptivePolicy.java
@@ -55,8 +55,8 @@
       return;
     }
     lastReportMs = nowMs;
-    int sum = placements.stream().mapToInt(AdaptivePlacement::loadsUnderWay).sum();
-    placements.forEach(p -> p.otherLoads(nowMs, sum - p.loadsUnderWay()));
+    int sum = placements.stream().mapToInt(AdaptivePlacement::loadsInProgress).sum();
+    placements.forEach(p -> p.recordOtherLoads(nowMs, sum - p.loadsInProgress()));
   }
 
   @Override
@@ -80,6 +80,6 @@
 
   private void recordHint(long nowMs, EndpointLoad load) {
     hints.put(load.endpoint(), load);
-    hot.learn(nowMs, load);
+    hot.update(nowMs, load);
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationFailureTest.java
@@ -8,7 +8,7 @@
 import io.sequoiapass.testbed.launch.Cluster;
 import io.sequoiapass.testbed.launch.ClusterNames;
 import io.sequoiapass.testbed.launch.DaemonNode;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -147,9 +147,9 @@
         setState(cluster, "ACTIVE");
         probe.await("e1 works again", LIMIT_MS, () -> probe.auditCounter("e1", "accepted") > after);
 
-        LoadReport report = Judgement.of(cluster).apply(tool.await(LIMIT_MS));
+        LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(LIMIT_MS));
         assertThat(report.reasons(5)).isEmpty();
-        assertThat(report.count(Verdict.WHOLE)).isEqualTo(report.sent());
+        assertThat(report.count(Verdict.COMPLETE)).isEqualTo(report.sent());
       }
     }
   }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/HostListFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/HostListFailureTest.java
@@ -7,7 +7,7 @@
 import io.sequoiapass.testbed.launch.Cluster;
 import io.sequoiapass.testbed.launch.DaemonNode;
 import io.sequoiapass.testbed.launch.EndpointNode;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -162,9 +162,9 @@
   }
 
   private static void assertAllComplete(Cluster cluster, LoadTool tool) throws Exception {
-    LoadReport report = Judgement.of(cluster).apply(tool.await(LOAD_LIMIT_MS));
+    LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(LOAD_LIMIT_MS));
     assertThat(report.reasons(5)).isEmpty();
-    assertThat(report.count(Verdict.WHOLE)).isEqualTo(report.sent());
+    assertThat(report.count(Verdict.COMPLETE)).isEqualTo(report.sent());
   }
 
   private static long elapsedMs(long start) {
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OverloadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OverloadTest.java
@@ -8,7 +8,7 @@
 import io.sequoiapass.testbed.launch.Cluster;
 import io.sequoiapass.testbed.launch.ClusterNames;
 import io.sequoiapass.testbed.launch.DaemonNode;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -132,7 +132,7 @@
   }
 
   private static boolean inTime(RequestResult result) {
-    return result.verdict() == Verdict.WHOLE
+    return result.verdict() == Verdict.COMPLETE
         && result.tookMicros() <= TimeUnit.MILLISECONDS.toMicros(DEADLINE_MS);
   }
 
@@ -189,7 +189,7 @@
         String retryAfter = retryAfterOfARefusal(cluster.daemons().get(0));
         LoadReport quietReport = quiet.await(LIMIT_MS);
         LoadReport floodReport = flood.await(LIMIT_MS);
-        Judgement checker = Judgement.of(cluster);
+        ConsistencyChecker checker = ConsistencyChecker.of(cluster);
         quietReport = checker.apply(quietReport);
         floodReport = checker.apply(floodReport);
         double share = inTimeShare(quietReport, any -> true);
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipFailureTest.java
@@ -4,7 +4,7 @@
 
 import io.sequoiapass.testbed.launch.Cluster;
 import io.sequoiapass.testbed.launch.DaemonNode;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -77,8 +77,8 @@
         probe.await("takeover", LIMIT_MS, () -> !probe.owner("e1", "yard-north").equals(frozen));
         cluster.daemon(frozen).process().resume();
 
-        LoadReport report = Judgement.of(cluster).apply(tool.await(LIMIT_MS));
-        Judgement checker = Judgement.of(cluster);
+        LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(LIMIT_MS));
+        ConsistencyChecker checker = ConsistencyChecker.of(cluster);
         assertThat(checker.violationDetails()).isEmpty();
         assertThat(checker.violations()).as("evictions while serving").isZero();
         assertThat(checker.evictions()).as("evictions at all").isPositive();
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipOutageTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipOutageTest.java
@@ -5,7 +5,7 @@
 import io.sequoiapass.testbed.launch.Cluster;
 import io.sequoiapass.testbed.launch.ClusterNames;
 import io.sequoiapass.testbed.launch.DaemonNode;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -64,16 +64,16 @@
         int seconds = 4 * LEASE_MS / 1_000;
         tool.start(new LoadPlan(seconds, 20, ADAPTERS, 0.5, 20, 0, 0, 0, 11).requests());
         cluster.proxies().toPlatform(cut.id()).set(ProxyFault.cut());
-        LoadReport report = Judgement.of(cluster).apply(tool.await(2 * LIMIT_MS));
+        LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(2 * LIMIT_MS));
 
         assertThat(probe.owner("e1", "yard-north")).isEqualTo(cut.id());
         assertThat(probe.statusField(cut, "lease")).isEqualTo("VALID");
-        Judgement checker = Judgement.of(cluster);
+        ConsistencyChecker checker = ConsistencyChecker.of(cluster);
         System.out.println("cut off: " + counts(report) + " evictions=" + checker.evictions());
         assertThat(checker.violationDetails()).isEmpty();
         assertThat(checker.evictions()).as("evictions at all").isPositive();
         assertThat(report.reasons(5)).isEmpty();
-        assertThat(report.count(Verdict.WHOLE)).isEqualTo(report.sent());
+        assertThat(report.count(Verdict.COMPLETE)).isEqualTo(report.sent());
       }
     }
   }
@@ -101,7 +101,7 @@
         LoadReport clientReport = tool.await(2 * LIMIT_MS + 1_000L * OUTAGE_SECONDS);
         cluster.faults(cluster.platformAddress(), "{}");
 
-        Judgement checker = Judgement.of(cluster);
+        ConsistencyChecker checker = ConsistencyChecker.of(cluster);
         LoadReport report = checker.apply(clientReport);
         System.out.println(
             "outage of "
@@ -116,7 +116,7 @@
         assertThat(report.count(Verdict.WRONG)).as(report.reasons(5).toString()).isZero();
         assertThat(report.unanswered()).isZero();
         assertThat(checker.evictions()).as("adapters shift").isPositive();
-        assertThat(report.count(Verdict.WHOLE)).isGreaterThan(report.sent() * 3 / 4);
+        assertThat(report.count(Verdict.COMPLETE)).isGreaterThan(report.sent() * 3 / 4);
         probe.await("owners again", LIMIT_MS, () -> allOwnedAndValid(cluster, probe));
       }
     }
@@ -192,7 +192,7 @@
         cluster.faults(cluster.platformAddress(), "{}");
         probe.await("the remaining daemon owns all", LIMIT_MS, () -> probe.owned(remaining) == 3);
 
-        Judgement checker = Judgement.of(cluster);
+        ConsistencyChecker checker = ConsistencyChecker.of(cluster);
         LoadReport report = checker.apply(clientReport);
         System.out.println("two stops in an outage: " + counts(report) + " " + report.reasons(4));
         assertThat(checker.violationDetails()).isEmpty();
@@ -207,7 +207,7 @@
     return "sent=%d whole=%d not_run=%d unknown=%d"
         .formatted(
             report.sent(),
-            report.count(Verdict.WHOLE),
+            report.count(Verdict.COMPLETE),
             report.count(Verdict.NOT_RUN),
             report.count(Verdict.UNKNOWN));
   }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipTakeoverLoadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipTakeoverLoadTest.java
@@ -8,7 +8,7 @@
 import io.sequoiapass.testbed.launch.ClusterNames;
 import io.sequoiapass.testbed.launch.DaemonNode;
 import io.sequoiapass.testbed.launch.EndpointNode;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
 import io.sequoiapass.testbed.load.PlannedRequest;
@@ -73,7 +73,7 @@
                 "takeover",
                 LIMIT_MS,
                 () -> !List.of("", victim).contains(probe.owner(lostEngine, "yard-north")));
-        LoadReport report = Judgement.of(cluster).apply(tool.await(LIMIT_MS));
+        LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(LIMIT_MS));
 
         Histogram before = report.firstTokens(OwnershipTakeoverLoadTest::isBefore);
         Histogram during = report.firstTokens(result -> !isBefore(result));
@@ -89,7 +89,7 @@
             during.getMaxValue(),
             during.getTotalCount());
         assertThat(report.reasons(5)).isEmpty();
-        assertThat(report.count(Verdict.WHOLE)).isEqualTo(report.sent());
+        assertThat(report.count(Verdict.COMPLETE)).isEqualTo(report.sent());
         assertThat(during.getValueAtPercentile(95))
             .isLessThan(before.getValueAtPercentile(95) + MAX_ADDED_MICROS);
       }
@@ -197,11 +197,11 @@
         stopping.process().stop();
         stopping.process().awaitExit(LIMIT_MS);
         probe.await("the remaining daemon owns all", LIMIT_MS, () -> probe.owned(remaining) == 6);
-        LoadReport report = Judgement.of(cluster).apply(tool.await(LIMIT_MS));
+        LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(LIMIT_MS));
 
         assertThat(report.reasons(5)).isEmpty();
-        assertThat(report.count(Verdict.WHOLE)).isEqualTo(report.sent());
-        assertThat(Judgement.of(cluster).violationDetails()).isEmpty();
+        assertThat(report.count(Verdict.COMPLETE)).isEqualTo(report.sent());
+        assertThat(ConsistencyChecker.of(cluster).violationDetails()).isEmpty();
       }
     }
   }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/StopTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/StopTest.java
@@ -6,7 +6,7 @@
 import io.sequoiapass.testbed.launch.Cluster;
 import io.sequoiapass.testbed.launch.ClusterNames;
 import io.sequoiapass.testbed.launch.DaemonNode;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -73,11 +73,11 @@
         third.process().awaitExit(LIMIT_MS);
         cluster.restart(third);
 
-        LoadReport report = Judgement.of(cluster).apply(tool.await(2 * LIMIT_MS));
+        LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(2 * LIMIT_MS));
         assertThat(report.reasons(5)).isEmpty();
-        assertThat(report.count(Verdict.WHOLE)).isEqualTo(report.sent());
+        assertThat(report.count(Verdict.COMPLETE)).isEqualTo(report.sent());
         assertThat(report.unanswered()).isZero();
-        assertThat(Judgement.of(cluster).violations()).isZero();
+        assertThat(ConsistencyChecker.of(cluster).violations()).isZero();
       }
     }
   }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/VersionFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/VersionFailureTest.java
@@ -7,7 +7,7 @@
 import io.sequoiapass.testbed.launch.Cluster;
 import io.sequoiapass.testbed.launch.ClusterNames;
 import io.sequoiapass.testbed.launch.DaemonNode;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -58,16 +58,18 @@
         putVersionInForce(
             cluster, change % 2 == 0 ? ClusterNames.FORMER_VERSION : ClusterNames.CURRENT_VERSION);
       }
-      LoadReport report = Judgement.of(cluster).apply(tool.await(LIMIT_MS));
+      LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(LIMIT_MS));
 
-      assertThat(report.count(Verdict.WHOLE)).as("%s", report.reasons(5)).isEqualTo(report.sent());
+      assertThat(report.count(Verdict.COMPLETE))
+          .as("%s", report.reasons(5))
+          .isEqualTo(report.sent());
       Set<String> versions = new HashSet<>();
       for (CompletableFuture<HttpAnswer> answer : unnamed) {
         versions.add(versionOf(answer.get(LIMIT_MS, TimeUnit.MILLISECONDS)));
       }
       assertThat(versions).as("a change came between requests").hasSize(2);
-      assertThat(Judgement.of(cluster).evictions()).as("slots were too few").isPositive();
-      assertThat(Judgement.of(cluster).violations()).isZero();
+      assertThat(ConsistencyChecker.of(cluster).evictions()).as("slots were too few").isPositive();
+      assertThat(ConsistencyChecker.of(cluster).violations()).isZero();
     }
   }
 
--- a/testbed/src/test/java/io/sequoiapass/testbed/launch/ClusterTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/launch/ClusterTest.java
@@ -4,7 +4,7 @@
 
 import io.sequoiapass.daemon.connection.HttpAnswer;
 import io.sequoiapass.daemon.connection.HttpCall;
-import io.sequoiapass.testbed.load.Judgement;
+import io.sequoiapass.testbed.load.ConsistencyChecker;
 import io.sequoiapass.testbed.load.LoadPlan;
 import io.sequoiapass.testbed.load.LoadReport;
 import io.sequoiapass.testbed.load.LoadTool;
@@ -32,11 +32,11 @@
           LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())) {
         tool.start(plan.requests());
         LoadReport told = tool.await(LIMIT_MS);
-        report = Judgement.of(cluster).apply(told);
+        report = ConsistencyChecker.of(cluster).apply(told);
       }
 
       assertThat(report.reasons(5)).isEmpty();
-      assertThat(report.count(Verdict.WHOLE)).isEqualTo(plan.requests().size());
+      assertThat(report.count(Verdict.COMPLETE)).isEqualTo(plan.requests().size());
     }
     assertThat(daemon.alive()).isFalse();
     assertThat(engine.alive()).isFalse();
--- a/testbed/src/test/java/io/sequoiapass/testbed/load/AnswerCheckTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/load/AnswerCheckTest.java
@@ -63,7 +63,7 @@
                   token(0, "a@v2/r~d1.x.1#0 "),
                   token(1, "a@v2/r~d1.x.1#1 "),
                   end("ANSWERED", "v2", 2)))
-          .isEqualTo(Verdict.WHOLE);
+          .isEqualTo(Verdict.COMPLETE);
     }
 
     @Test
--- a/testbed/src/test/java/io/sequoiapass/testbed/load/JudgementTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/load/ConsistencyCheckerTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-class JudgementTest {
+class ConsistencyCheckerTest {
 
   private static RequestResult result(Verdict verdict, boolean repeatable) {
     PlannedRequest request =
@@ -16,8 +16,9 @@
   }
 
   private static Verdict check(RequestResult result, List<String> ranOn) {
-    Judgement judgement = new Judgement(List.of(), Map.of("r", ranOn), Map.of("r", ranOn.size()));
-    return judgement.apply(new LoadReport(List.of(result), 1)).results().get(0).verdict();
+    ConsistencyChecker checker =
+        new ConsistencyChecker(List.of(), Map.of("r", ranOn), Map.of("r", ranOn.size()));
+    return checker.apply(new LoadReport(List.of(result), 1)).results().get(0).verdict();
   }
 
   // A request that is reported as not run although the engine ran it is sent again and runs twice.
@@ -31,8 +32,8 @@
   @Test
   void detectsSecondRunOfNonRepeatableRequest() {
     List<String> twice = List.of("a@v2", "a@v2");
-    assertThat(check(result(Verdict.WHOLE, false), twice)).isEqualTo(Verdict.WRONG);
-    assertThat(check(result(Verdict.WHOLE, true), twice)).isEqualTo(Verdict.WHOLE);
+    assertThat(check(result(Verdict.COMPLETE, false), twice)).isEqualTo(Verdict.WRONG);
+    assertThat(check(result(Verdict.COMPLETE, true), twice)).isEqualTo(Verdict.COMPLETE);
   }
 
   @Test
--- a/testbed/src/test/java/io/sequoiapass/testbed/load/FaultsUnderLoadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/load/FaultsUnderLoadTest.java
@@ -59,20 +59,20 @@
 
   private void assertNothingWrong() throws Exception {
     LoadReport received = tool.await(LIMIT_MS);
-    Judgement judgement = Judgement.of(cluster);
-    LoadReport report = judgement.apply(received);
+    ConsistencyChecker checker = ConsistencyChecker.of(cluster);
+    LoadReport report = checker.apply(received);
     List<String> reasons = report.reasons(10);
     System.out.printf(
         "faults: sent=%d whole=%d not_run=%d unknown=%d %s%n",
         report.sent(),
-        report.count(Verdict.WHOLE),
+        report.count(Verdict.COMPLETE),
         report.count(Verdict.NOT_RUN),
         report.count(Verdict.UNKNOWN),
         reasons);
     assertThat(report.count(Verdict.WRONG)).as("wrong: %s", reasons).isZero();
     assertThat(report.unanswered()).as("without a final answer: %s", reasons).isZero();
-    assertThat(judgement.violations()).as("%s", judgement.violationDetails()).isZero();
-    assertThat(report.count(Verdict.WHOLE)).isGreaterThan(report.sent() / 2);
+    assertThat(checker.violations()).as("%s", checker.violationDetails()).isZero();
+    assertThat(report.count(Verdict.COMPLETE)).isGreaterThan(report.sent() / 2);
   }
 
   // A daemon that is both entry and owner is killed with streams in flight. Its callers lose their
