--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/JudgedHandler.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/AuditedHandler.java
@@ -8,18 +8,18 @@
 import io.sequoiapass.testbed.wire.Json;
 import java.util.Map;
 
-/** Answers the two calls that all stand-ins share and leaves the others to the stand-in. */
-abstract class JudgedHandler implements HttpHandler {
+/** HTTP handler base class with the fault and audit endpoints that all stand-ins share. */
+abstract class AuditedHandler implements HttpHandler {
 
   @Override
   public final void handle(HttpRequestMessage request, HttpResponder responder) {
     try {
       switch (request.path()) {
         case "/faults" -> {
-          switchFaults(request.text());
+          setFaults(request.text());
           ok(responder, Map.of());
         }
-        case "/judge" -> ok(responder, judge(request));
+        case "/judge" -> ok(responder, audit(request));
         default -> serve(request, responder);
       }
     } catch (JsonSyntaxException | IllegalArgumentException e) {
@@ -27,11 +27,11 @@
     }
   }
 
-  /** Sets the faults that hold from now on; those not named are cleared. */
-  abstract void switchFaults(String json);
+  /** Replaces the active faults; those not named are cleared. */
+  abstract void setFaults(String json);
 
-  /** Returns what ran, as an object for JSON. */
-  abstract Object judge(HttpRequestMessage request);
+  /** Returns the audit report, an object that Gson can write. */
+  abstract Object audit(HttpRequestMessage request);
 
   abstract void serve(HttpRequestMessage request, HttpResponder responder);
 
@@ -48,7 +48,7 @@
     respond(responder, status, Map.of("error", error));
   }
 
-  /** Reads a message; an empty body reads as {@code {}}. */
+  /** Parses a message; a blank body is read as {@code {}}. */
   static <T> T read(String json, Class<T> type) {
     return Json.GSON.fromJson(json.isBlank() ? "{}" : json, type);
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineJudge.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineAudit.java
@@ -7,11 +7,12 @@
 import java.util.Map;
 
 /**
- * Counts what ran, for whom, and which promises were broken; outlives the engine's restarts.
+ * Records what an engine ran, for which requests, and which guarantees were violated; survives the
+ * simulated restarts of the engine.
  *
- * <p>A run counts from the moment its stream joins the batch.
+ * <p>A run is counted when its stream joins the batch. Confined to one event loop.
  */
-final class EngineJudge {
+final class EngineAudit {
 
   private static final int MAX_RUNS = 500_000;
 
@@ -124,7 +125,7 @@
         withRuns ? List.copyOf(runs.values()) : List.of());
   }
 
-  /** What the judge tells; {@code truncated} means that more ran than are listed. */
+  /** Audit report; {@code truncated} means that some runs may be missing from the list. */
   record Report(
       String endpoint,
       String boot,
@@ -146,7 +147,7 @@
       boolean truncated,
       List<Run> runs) {}
 
-  /** One request's attempt; JSON shows its fields. */
+  /** Runs of one attempt of a request; Gson writes its fields. */
   static final class Run {
 
     private final String requestId;
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineBatch.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineBatch.java
@@ -12,8 +12,8 @@
 import java.util.stream.Stream;
 
 /**
- * Runs streams in steps: each step gives each stream of the batch one token, and takes longer the
- * more streams and adapters are in it. Used on one event loop.
+ * Continuous batching in steps: each step produces one token for each stream of the batch, and its
+ * duration grows with the number of streams and distinct adapters. Confined to one event loop.
  */
 final class EngineBatch {
 
@@ -22,18 +22,18 @@
   private final EngineSettings settings;
   private final EventLoop loop;
   private final MillisClock clock;
-  private final EngineJudge judge;
+  private final EngineAudit audit;
   private final List<EngineStream> queue = new ArrayList<>();
   private final List<EngineStream> running = new ArrayList<>();
-  private final List<EngineStream> kept = new ArrayList<>();
+  private final List<EngineStream> finished = new ArrayList<>();
   private boolean stepping;
   private long nextStepAt;
 
-  EngineBatch(EngineSettings settings, EventLoop loop, MillisClock clock, EngineJudge judge) {
+  EngineBatch(EngineSettings settings, EventLoop loop, MillisClock clock, EngineAudit audit) {
     this.settings = settings;
     this.loop = loop;
     this.clock = clock;
-    this.judge = judge;
+    this.audit = audit;
     long sweepMs = Math.max(10, settings.keepMs() / 10);
     loop.scheduleAtFixedRate(this::sweep, sweepMs, sweepMs, TimeUnit.MILLISECONDS);
   }
@@ -50,8 +50,8 @@
     return queue.size();
   }
 
-  /** Returns the streams taken and not finished, those that wait for a place in a step included. */
-  List<EngineStream> underWay() {
+  /** Returns the accepted streams that are not finished, queued ones included. */
+  List<EngineStream> unfinishedStreams() {
     return Stream.concat(running.stream(), queue.stream()).toList();
   }
 
@@ -60,27 +60,27 @@
     if (!stepping) {
       stepping = true;
       nextStepAt = System.nanoTime();
-      fill();
+      admitQueued();
       scheduleStep();
     }
   }
 
-  /** Makes the next step wait. */
+  /** Delays the next step. */
   void stall(long millis) {
     nextStepAt = Math.max(nextStepAt, System.nanoTime()) + TimeUnit.MILLISECONDS.toNanos(millis);
   }
 
-  private void fill() {
+  private void admitQueued() {
     queue.sort(Comparator.comparing(EngineStream::priority));
     while (running.size() < settings.maxStreams() && !queue.isEmpty()) {
       EngineStream next = queue.remove(0);
-      next.joinedBatch(clock.millis());
-      judge.started(next.request());
+      next.markAdmitted(clock.millis());
+      audit.started(next.request());
       running.add(next);
     }
   }
 
-  private int adapters() {
+  private int distinctAdapters() {
     return (int) running.stream().map(EngineStream::slot).distinct().count();
   }
 
@@ -88,9 +88,9 @@
     long costMicros =
         settings.baseMicros()
             + (long) settings.streamMicros() * running.size()
-            + (long) settings.adapterMicros() * adapters();
+            + (long) settings.adapterMicros() * distinctAdapters();
     long now = System.nanoTime();
-    // Counted from the last step's due time, so that timers that fire late don't slow the engine.
+    // Based on the last step's due time, so that late timers don't slow the engine down.
     nextStepAt = Math.max(nextStepAt, now - MIN_STEP_NANOS);
     nextStepAt += Math.max(MIN_STEP_NANOS, TimeUnit.MICROSECONDS.toNanos(costMicros));
     loop.schedule(this::step, nextStepAt - now, TimeUnit.NANOSECONDS);
@@ -103,19 +103,19 @@
       return;
     }
     if (!running.isEmpty()) {
-      judge.step(running.size(), adapters());
+      audit.step(running.size(), distinctAdapters());
     }
     for (EngineStream stream : List.copyOf(running)) {
       if (stream.step()) {
-        judge.token(stream.request());
+        audit.token(stream.request());
       }
       if (stream.finished()) {
         running.remove(stream);
-        kept.add(stream);
-        stream.finishedAt(clock.millis());
+        finished.add(stream);
+        stream.markFinished(clock.millis());
       }
     }
-    fill();
+    admitQueued();
     if (running.isEmpty()) {
       stepping = false;
     } else {
@@ -123,19 +123,19 @@
     }
   }
 
-  /** Drops the streams that nobody came back for. */
+  /** Removes streams that have had no reader for the retention time. */
   private void sweep() {
     long latest = clock.millis() - settings.keepMs();
-    Predicate<EngineStream> over = stream -> stream.abandonedSince(latest);
-    queue.removeIf(over);
-    running.removeIf(over);
-    kept.removeIf(over);
+    Predicate<EngineStream> expired = stream -> stream.abandonedSince(latest);
+    queue.removeIf(expired);
+    running.removeIf(expired);
+    finished.removeIf(expired);
   }
 
-  /** Returns the newest stream of a request. */
+  /** Returns the stream of the latest attempt of a request. */
   Optional<EngineStream> find(String requestId) {
     Optional<EngineStream> found = Optional.empty();
-    for (List<EngineStream> streams : List.of(kept, running, queue)) {
+    for (List<EngineStream> streams : List.of(finished, running, queue)) {
       for (EngineStream stream : streams) {
         if (stream.request().requestId().equals(requestId) && newer(stream, found)) {
           found = Optional.of(stream);
@@ -155,9 +155,9 @@
         + (int) queue.stream().filter(stream -> stream.slot() == slot).count();
   }
 
-  /** Ends all streams that match, cutting off their readers. */
+  /** Removes all matching streams and closes the connections of their readers. */
   void kill(Predicate<EngineStream> which) {
-    for (List<EngineStream> streams : List.of(queue, running, kept)) {
+    for (List<EngineStream> streams : List.of(queue, running, finished)) {
       List<EngineStream> killed = streams.stream().filter(which).toList();
       streams.removeAll(killed);
       killed.forEach(stream -> stream.abort(clock.millis()));
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineMessages.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineMessages.java
@@ -2,26 +2,26 @@
 
 import java.util.List;
 
-/** Holds the messages of the engine's interface, as JSON names them. */
+/** Messages of the engine's interface; Gson writes and reads them by field name. */
 final class EngineMessages {
 
   private EngineMessages() {}
 
-  /** Orders waiting streams; the engine takes the first first. */
+  /** Priority of queued streams, highest first. */
   enum Priority {
     DEADLINE,
     INTERACTIVE,
     BATCH
   }
 
-  /** Names the orders that an engine takes. */
+  /** Types of orders to an engine. */
   enum OrderType {
     LOAD,
     UNLOAD,
     ROLE
   }
 
-  /** Tells how far a slot's load has come. */
+  /** State of an adapter slot. */
   enum SlotState {
     LOADING,
     READY
@@ -56,7 +56,7 @@
   record Token(
       String requestId, int attempt, int index, String token, String adapter, String version) {}
 
-  /** The stream's last frame; {@code tokens} counts from the answer's first token. */
+  /** The last frame of a stream; {@code tokens} is the length of the complete answer. */
   record Done(
       String requestId,
       int attempt,
@@ -80,16 +80,16 @@
   /** The answer to a load. */
   record Loaded(String handle) {}
 
-  /** The refusal of an order with an old fencing number. */
+  /** The rejection of an order with an outdated fencing number. */
   record StaleFence(String error, long fence) {}
 
-  /** One slot in the state. */
+  /** One slot in {@link State}. */
   record SlotView(String handle, String adapter, String version, SlotState state, int streams) {}
 
-  /** One stream in the state. */
+  /** One unfinished stream in {@link State}. */
   record RunningView(String requestId, int attempt, String adapter, String version, int tokens) {}
 
-  /** The exact state. */
+  /** The current state of the engine, without lag. */
   record State(
       String endpoint,
       String boot,
@@ -98,10 +98,10 @@
       List<SlotView> slots,
       List<RunningView> running) {}
 
-  /** The lagging load report. */
+  /** The load report, which lags behind the state. */
   record LoadReport(int streams, int queued, long atMs) {}
 
-  /** Names a request whose KV cache is meant. */
+  /** A request for the KV cache of another request. */
   record KvName(String requestId) {}
 
   /** A request's KV cache. */
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineSettings.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineSettings.java
@@ -6,22 +6,22 @@
 import java.net.InetSocketAddress;
 
 /**
- * Holds the settings of the engine's stand-in.
+ * Settings of the engine stand-in.
  *
  * @param id the endpoint's name
- * @param weights where the weight store listens
- * @param slots adapters held at once
- * @param maxStreams streams in one step
- * @param maxQueue streams that wait for a place in the batch
- * @param baseMicros a step's cost before any stream, in microseconds
- * @param streamMicros a step's cost for each stream, in microseconds
- * @param adapterMicros a step's cost for each distinct adapter, in microseconds
- * @param prefixes prompt prefixes held in the cache
- * @param checksFence whether orders with an old fencing number are refused
- * @param keepMs how long a stream stays after its reader left
- * @param loadLagMs how old the load report may be
- * @param eventLagMs how late cache events are
- * @param eventLoss which part of the cache events is never reported
+ * @param weights address of the weight store
+ * @param slots adapter slots
+ * @param maxStreams maximum streams in one step
+ * @param maxQueue maximum streams queued for the batch
+ * @param baseMicros fixed cost of a step, in microseconds
+ * @param streamMicros cost of a step for each stream, in microseconds
+ * @param adapterMicros cost of a step for each distinct adapter, in microseconds
+ * @param prefixes capacity of the prefix cache, in prompt prefixes
+ * @param checksFence whether orders with an outdated fencing number are rejected
+ * @param keepMs retention of a stream without a reader, in milliseconds
+ * @param loadLagMs maximum age of the load report, in milliseconds
+ * @param eventLagMs delay of cache events, in milliseconds
+ * @param eventLoss fraction of cache events that are lost
  * @param seed seed of lost events and failed loads
  */
 record EngineSettings(
@@ -45,18 +45,18 @@
     return definition
         .flag("id", "engine", "the endpoint's name")
         .flag("weights", "127.0.0.1:1", "host:port of the weight store")
-        .flag("slots", "4", "adapters held at once")
-        .flag("max-streams", "16", "streams in one step")
-        .flag("max-queue", "64", "streams that wait for a place in the batch")
-        .flag("base-micros", "4000", "a step's cost before any stream; a step takes 5 ms at least")
-        .flag("stream-micros", "100", "a step's cost for each stream")
-        .flag("adapter-micros", "400", "a step's cost for each distinct adapter")
-        .flag("prefixes", "256", "prompt prefixes held in the cache")
-        .flag("checks-fence", "true", "whether orders with an old fencing number are refused")
-        .flag("keep-ms", "10000", "how long a stream stays after its reader left")
-        .flag("load-lag-ms", "200", "how old the load report may be")
-        .flag("event-lag-ms", "500", "how late cache events are")
-        .flag("event-loss", "0.1", "which part of the cache events is never reported")
+        .flag("slots", "4", "adapter slots")
+        .flag("max-streams", "16", "maximum streams in one step")
+        .flag("max-queue", "64", "maximum streams queued for the batch")
+        .flag("base-micros", "4000", "fixed cost of a step; a step takes at least 5 ms")
+        .flag("stream-micros", "100", "cost of a step for each stream")
+        .flag("adapter-micros", "400", "cost of a step for each distinct adapter")
+        .flag("prefixes", "256", "capacity of the prefix cache, in prompt prefixes")
+        .flag("checks-fence", "true", "whether orders with an outdated fencing number are rejected")
+        .flag("keep-ms", "10000", "retention of a stream without a reader")
+        .flag("load-lag-ms", "200", "maximum age of the load report")
+        .flag("event-lag-ms", "500", "delay of cache events")
+        .flag("event-loss", "0.1", "fraction of cache events that are lost")
         .flag("seed", "1", "seed of lost events and failed loads");
   }
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineSlot.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineSlot.java
@@ -2,7 +2,7 @@
 
 import io.sequoiapass.testbed.standin.EngineMessages.SlotState;
 
-/** Holds one adapter's load; compared by identity. */
+/** An adapter slot in use; compared by identity. */
 final class EngineSlot {
 
   private final String handle;
@@ -32,11 +32,11 @@
     return state;
   }
 
-  void ready() {
+  void markReady() {
     state = SlotState.READY;
   }
 
-  /** Returns whether a request for this adapter, version and handle may run here. */
+  /** Returns whether this slot can run a request for an adapter, version and optional handle. */
   boolean serves(String wantedAdapter, String wantedVersion, String wantedHandle) {
     return state == SlotState.READY
         && adapter.equals(wantedAdapter)
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineStandIn.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineStandIn.java
@@ -28,12 +28,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands in for a model engine: adapter slots, continuous batching, streams that can be resumed.
+ * Stand-in for a model engine with adapter slots, continuous batching and resumable streams.
  *
- * <p>It obeys an order that evicts a serving adapter, kills the streams and counts a violation:
- * keeping that promise is the daemons' work, and the engine is its judge.
+ * <p>An order to evict a serving adapter is executed: its streams are killed and a violation is
+ * counted. The daemons must never send such an order, so the engine records it instead of refusing.
  */
-final class EngineStandIn extends JudgedHandler {
+final class EngineStandIn extends AuditedHandler {
 
   private static final String STREAMS = "/v1/streams/";
   private static final long WEIGHTS_TIMEOUT_MS = 120_000;
@@ -43,7 +43,7 @@
   private final MillisClock clock;
   private final HttpClient client;
   private final Random random;
-  private final EngineJudge judge = new EngineJudge();
+  private final EngineAudit audit = new EngineAudit();
   private final EngineBatch batch;
   private final PrefixCache prefixes;
   private final List<EngineSlot> slots = new ArrayList<>();
@@ -62,24 +62,24 @@
     this.clock = clock;
     this.client = HttpClient.create(loop, 500);
     this.random = new Random(settings.seed());
-    this.batch = new EngineBatch(settings, loop, clock, judge);
+    this.batch = new EngineBatch(settings, loop, clock, audit);
     this.prefixes = new PrefixCache(settings, loop);
-    this.boot = newBoot();
-    publishLoad();
+    this.boot = newBootId();
+    updateLoadReport();
     loop.scheduleAtFixedRate(
-        this::publishLoad, settings.loadLagMs(), settings.loadLagMs(), TimeUnit.MILLISECONDS);
+        this::updateLoadReport, settings.loadLagMs(), settings.loadLagMs(), TimeUnit.MILLISECONDS);
   }
 
-  private static String newBoot() {
+  private static String newBootId() {
     return UUID.randomUUID().toString();
   }
 
-  private void publishLoad() {
+  private void updateLoadReport() {
     report = new LoadReport(batch.runningCount(), batch.queuedCount(), clock.millis());
   }
 
   @Override
-  void switchFaults(String json) {
+  void setFaults(String json) {
     faults = read(json, Faults.class);
     if (faults.restart()) {
       restart();
@@ -93,22 +93,22 @@
   }
 
   private void restart() {
-    List<PendingLoad> cut = List.copyOf(pending);
+    List<PendingLoad> interrupted = List.copyOf(pending);
     pending.clear();
-    cut.forEach(load -> load.waiting.forEach(HttpResponder::abort));
+    interrupted.forEach(load -> load.responders.forEach(HttpResponder::abort));
     slots.clear();
     batch.kill(stream -> true);
     prefixes.clear();
     importedKv.clear();
     fence = 0;
     role = "";
-    boot = newBoot();
+    boot = newBootId();
   }
 
   @Override
-  Object judge(HttpRequestMessage request) {
+  Object audit(HttpRequestMessage request) {
     boolean withRuns = !request.query("runs").orElse("1").equals("0");
-    return judge.report(settings.id(), boot, withRuns);
+    return audit.report(settings.id(), boot, withRuns);
   }
 
   @Override
@@ -138,7 +138,7 @@
 
   private void complete(Completion request, HttpResponder responder) {
     if (faults.refuse() || batch.full()) {
-      judge.busy();
+      audit.busy();
       error(responder, 503, "busy");
       return;
     }
@@ -147,11 +147,11 @@
             .filter(s -> s.serves(request.adapter(), request.version(), request.handle()))
             .findFirst();
     if (slot.isEmpty()) {
-      judge.notLoaded();
+      audit.notLoaded();
       error(responder, 409, "not_loaded");
       return;
     }
-    judge.accepted();
+    audit.accepted();
     EngineStream stream =
         new EngineStream(request, slot.get(), prefill(request, slot.get()), clock.millis());
     if (faults.cutStreamAfter() > 0) {
@@ -171,14 +171,14 @@
     }
     boolean hit = prefixes.holds(slot, request.prompt());
     if (hit) {
-      judge.prefixHit();
+      audit.prefixHit();
     }
     prefixes.add(slot, request.prompt());
     return prefixes.prefillSteps(hit, request.prompt());
   }
 
   private void attach(EngineStream stream, HttpResponder responder, int from) {
-    stream.attach(responder, from, () -> stream.readerLeft(clock.millis()));
+    stream.attach(responder, from, () -> stream.detach(clock.millis()));
   }
 
   private void streams(HttpRequestMessage request, String requestId, HttpResponder responder) {
@@ -200,11 +200,11 @@
   private void order(Order order, HttpResponder responder) {
     if (order.fence() < fence) {
       if (settings.checksFence()) {
-        judge.staleRefused();
+        audit.staleRefused();
         respond(responder, 409, new StaleFence("stale_fence", fence));
         return;
       }
-      judge.staleObeyed();
+      audit.staleObeyed();
     }
     fence = Math.max(fence, order.fence());
     switch (order.order()) {
@@ -224,12 +224,12 @@
 
   private void load(Order order, HttpResponder responder) {
     if (order.adapter() == null || order.version() == null) {
-      throw new IllegalArgumentException("a LOAD names adapter and version");
+      throw new IllegalArgumentException("LOAD needs adapter and version");
     }
-    Optional<EngineSlot> same = slot(order.handle());
-    if (same.isPresent()) {
-      // The order came a second time, after its first answer was lost: it must not load twice.
-      repeatLoad(same.get(), responder);
+    Optional<EngineSlot> existing = slot(order.handle());
+    if (existing.isPresent()) {
+      // A repeated order, sent because the first answer was lost, must not load the adapter twice.
+      repeatLoad(existing.get(), responder);
       return;
     }
     if (slots.size() >= settings.slots()) {
@@ -251,7 +251,7 @@
   private void repeatLoad(EngineSlot slot, HttpResponder responder) {
     Optional<PendingLoad> load = pending.stream().filter(p -> p.slot == slot).findFirst();
     if (load.isPresent()) {
-      load.get().waiting.add(responder);
+      load.get().responders.add(responder);
     } else {
       ok(responder, new Loaded(slot.handle()));
     }
@@ -262,27 +262,27 @@
     String path = "/v1/weights/" + load.slot.adapter() + "/" + load.slot.version();
     client
         .send(HttpCall.to(settings.weights(), "GET", path), WEIGHTS_TIMEOUT_MS)
-        .whenCompleteAsync((answer, failure) -> fetched(load, answer), loop);
+        .whenCompleteAsync((answer, failure) -> finishLoad(load, answer), loop);
   }
 
-  private void fetched(PendingLoad load, HttpAnswer answer) {
+  private void finishLoad(PendingLoad load, HttpAnswer answer) {
     if (!pending.remove(load)) {
       return;
     }
-    boolean came = answer != null && answer.ok();
-    if (!came || random.nextDouble() < faults.failLoads()) {
-      failed(load);
+    boolean received = answer != null && answer.ok();
+    if (!received || random.nextDouble() < faults.failLoads()) {
+      failLoad(load);
       return;
     }
-    judge.loaded();
-    load.slot.ready();
-    load.waiting.forEach(responder -> ok(responder, new Loaded(load.slot.handle())));
+    audit.loaded();
+    load.slot.markReady();
+    load.responders.forEach(responder -> ok(responder, new Loaded(load.slot.handle())));
   }
 
-  private void failed(PendingLoad load) {
-    judge.loadFailed();
+  private void failLoad(PendingLoad load) {
+    audit.loadFailed();
     slots.remove(load.slot);
-    load.waiting.forEach(responder -> error(responder, 502, "load_failed"));
+    load.responders.forEach(responder -> error(responder, 502, "load_failed"));
   }
 
   private void unload(Order order, HttpResponder responder) {
@@ -295,9 +295,9 @@
     Optional<PendingLoad> load = pending.stream().filter(p -> p.slot == slot).findFirst();
     if (load.isPresent()) {
       pending.remove(load.get());
-      failed(load.get());
+      failLoad(load.get());
     } else {
-      judge.evicted(slot, batch.streamsOn(slot));
+      audit.evicted(slot, batch.streamsOn(slot));
       slots.remove(slot);
       batch.kill(stream -> stream.slot() == slot && !stream.finished());
     }
@@ -317,7 +317,7 @@
                         batch.streamsOn(slot)))
             .toList();
     List<RunningView> runningViews =
-        batch.underWay().stream()
+        batch.unfinishedStreams().stream()
             .map(
                 stream ->
                     new RunningView(
@@ -341,16 +341,16 @@
     ok(responder, new KvBlob(name.requestId(), slot.adapter(), slot.version(), stream.produced()));
   }
 
-  /** A load whose weights are on their way; compared by identity. */
+  /** A load in progress; compared by identity. */
   private static final class PendingLoad {
 
     private final EngineSlot slot;
-    private final List<HttpResponder> waiting = new ArrayList<>();
+    private final List<HttpResponder> responders = new ArrayList<>();
     private boolean hung;
 
     PendingLoad(EngineSlot slot, HttpResponder first) {
       this.slot = slot;
-      waiting.add(first);
+      responders.add(first);
     }
   }
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineStream.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/EngineStream.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 
 /**
- * Holds one request's way through the engine and writes it to whoever reads it.
+ * The token stream of one request and its current reader; confined to one event loop.
  *
- * <p>A token's text follows from its index, so a slow reader costs no memory: the stream remembers
- * only how far it has written.
+ * <p>A token's text is computed from its index, so a slow reader needs no buffer: the stream stores
+ * only the index of the next token to write.
  */
 final class EngineStream {
 
@@ -30,14 +30,14 @@
   private int cutAfter = Integer.MAX_VALUE;
   private HttpResponder reader;
   private int written;
-  private long readerLeftAt;
+  private long detachedAt;
 
   EngineStream(Completion request, EngineSlot slot, int prefillSteps, long now) {
     this.request = request;
     this.slot = slot;
     this.prefillSteps = prefillSteps;
     this.acceptedAt = now;
-    this.readerLeftAt = now;
+    this.detachedAt = now;
     this.produced = request.resumeFrom();
   }
 
@@ -65,11 +65,11 @@
     cutAfter = tokens;
   }
 
-  void joinedBatch(long now) {
+  void markAdmitted(long now) {
     stalledMs = now - acceptedAt;
   }
 
-  /** Makes one token, or goes on reading the prompt; returns whether a token was made. */
+  /** Runs one prefill or decode step; returns whether it produced a token. */
   boolean step() {
     if (prefillSteps > 0) {
       prefillSteps--;
@@ -80,12 +80,12 @@
     return true;
   }
 
-  /** Sends the stream from a token on to a new reader; a former reader is cut off. */
-  void attach(HttpResponder next, int from, Runnable left) {
-    HttpResponder former = reader;
+  /** Sends the stream from a token index to a new reader; closes any previous reader. */
+  void attach(HttpResponder next, int from, Runnable onClosed) {
+    HttpResponder previous = reader;
     reader = null;
-    if (former != null) {
-      former.abort();
+    if (previous != null) {
+      previous.abort();
     }
     reader = next;
     written = from;
@@ -94,33 +94,33 @@
     next.onClose(
         () -> {
           if (reader == next) {
-            left.run();
+            onClosed.run();
           }
         });
     write();
   }
 
-  void readerLeft(long now) {
+  void detach(long now) {
     reader = null;
-    readerLeftAt = now;
+    detachedAt = now;
   }
 
-  /** Starts the time for which a finished stream that nobody reads is kept. */
-  void finishedAt(long now) {
-    readerLeftAt = now;
+  /** Starts the retention time of a finished stream. */
+  void markFinished(long now) {
+    detachedAt = now;
   }
 
-  /** Closes the reader's connection short of the end. */
+  /** Closes the reader's connection before the end of the stream. */
   void abort(long now) {
     HttpResponder current = reader;
-    readerLeft(now);
+    detach(now);
     if (current != null) {
       current.abort();
     }
   }
 
   boolean abandonedSince(long time) {
-    return reader == null && readerLeftAt <= time;
+    return reader == null && detachedAt <= time;
   }
 
   private void write() {
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/PlatformSettings.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/PlatformSettings.java
@@ -4,12 +4,12 @@
 import io.sequoiapass.testbed.cli.UsageException;
 
 /**
- * Holds the settings of the platform's stand-in.
+ * Settings of the platform stand-in.
  *
- * @param hostsLagMs how long a change of the host list stays unseen
- * @param writesPerSecond writes taken a second
- * @param readsPerSecond reads and watches taken a second
- * @param history changes kept for watches
+ * @param hostsLagMs delay before a change of the host list is visible, in milliseconds
+ * @param writesPerSecond rate limit of writes
+ * @param readsPerSecond rate limit of reads and watches
+ * @param history number of changes kept for watches
  * @param seed seed of lost answers
  */
 record PlatformSettings(
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/PlatformStandIn.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/PlatformStandIn.java
@@ -20,12 +20,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands in for the platform: objects with versions, conditional updates, watches, the host list.
+ * Stand-in for the platform: versioned objects, conditional updates, watches and the host list.
  *
- * <p>Tests set the host list with {@code PUT /hosts}, which does not count as a call of the API and
- * is seen by others only after the lag.
+ * <p>Tests set the host list with {@code PUT /hosts}, which is not counted as an API call and
+ * becomes visible after the configured lag.
  */
-final class PlatformStandIn extends JudgedHandler {
+final class PlatformStandIn extends AuditedHandler {
 
   private static final String OBJECTS = "/v1/objects/";
   private static final long MAX_WAIT_MS = 60_000;
@@ -36,7 +36,7 @@
   private final RateLimit writes;
   private final RateLimit reads;
   private final Random random;
-  private final List<WaitingWatch> watches = new ArrayList<>();
+  private final List<PendingWatch> watches = new ArrayList<>();
   private final Map<CallKind, Long> calls = new TreeMap<>();
   private Faults faults = new Faults(false, 0, 0, false);
   private JsonElement hosts = noHosts();
@@ -61,28 +61,29 @@
   }
 
   @Override
-  void switchFaults(String json) {
+  void setFaults(String json) {
     faults = read(json, Faults.class);
     if (faults.compact()) {
       store.compact();
     }
     if (faults.outage()) {
-      List<WaitingWatch> cut = List.copyOf(watches);
+      List<PendingWatch> interrupted = List.copyOf(watches);
       watches.clear();
-      cut.forEach(watch -> watch.responder.abort());
+      interrupted.forEach(watch -> watch.responder.abort());
     }
   }
 
   @Override
-  Object judge(HttpRequestMessage request) {
-    return new Judge(store.revision(), calls, conflicts, lostAnswers, watches.size(), mostWatches);
+  Object audit(HttpRequestMessage request) {
+    return new AuditReport(
+        store.revision(), calls, conflicts, lostAnswers, watches.size(), mostWatches);
   }
 
   @Override
   void serve(HttpRequestMessage request, HttpResponder responder) {
     if (request.path().equals("/hosts") && request.method().equals("PUT")) {
       JsonElement next = read(request.text(), JsonElement.class);
-      loop.schedule(() -> hostsAre(next), settings.hostsLagMs(), TimeUnit.MILLISECONDS);
+      loop.schedule(() -> setHosts(next), settings.hostsLagMs(), TimeUnit.MILLISECONDS);
       ok(responder, Map.of());
       return;
     }
@@ -93,7 +94,7 @@
       return;
     }
     RateLimit limit = kind.writes() ? writes : reads;
-    if (!limit.tryTake()) {
+    if (!limit.tryAcquire()) {
       count(CallKind.REFUSED_RATE);
       responder.respond(429, Map.of("Retry-After", "1"), "{\"error\":\"rate\"}");
       return;
@@ -101,13 +102,13 @@
     count(kind);
     if (faults.slowMs() > 0) {
       loop.schedule(
-          () -> serveNow(kind, request, responder), faults.slowMs(), TimeUnit.MILLISECONDS);
+          () -> dispatch(kind, request, responder), faults.slowMs(), TimeUnit.MILLISECONDS);
     } else {
-      serveNow(kind, request, responder);
+      dispatch(kind, request, responder);
     }
   }
 
-  private void hostsAre(JsonElement next) {
+  private void setHosts(JsonElement next) {
     hosts = next;
     hostsTag++;
   }
@@ -135,7 +136,7 @@
     calls.merge(kind, 1L, Long::sum);
   }
 
-  private void serveNow(CallKind kind, HttpRequestMessage request, HttpResponder responder) {
+  private void dispatch(CallKind kind, HttpRequestMessage request, HttpResponder responder) {
     try {
       switch (kind) {
         case WATCH -> watch(request, responder);
@@ -167,12 +168,12 @@
 
   private void put(HttpRequestMessage request, HttpResponder responder) {
     ObjectPath path = ObjectPath.of(request);
-    if (conflicts(request, path, responder)) {
+    if (rejectConflict(request, path, responder)) {
       return;
     }
     JsonElement value = read(request.text(), JsonElement.class);
     StoredObject stored = store.put(path.kind(), path.name(), operation(request), value);
-    changed(responder, stored);
+    respondAndNotify(responder, stored);
   }
 
   private void delete(HttpRequestMessage request, HttpResponder responder) {
@@ -181,17 +182,18 @@
       error(responder, 404, "not_found");
       return;
     }
-    if (conflicts(request, path, responder)) {
+    if (rejectConflict(request, path, responder)) {
       return;
     }
-    changed(responder, store.delete(path.kind(), path.name(), operation(request)));
+    respondAndNotify(responder, store.delete(path.kind(), path.name(), operation(request)));
   }
 
   private static String operation(HttpRequestMessage request) {
     return request.header("Operation-Id").orElse("");
   }
 
-  private boolean conflicts(HttpRequestMessage request, ObjectPath path, HttpResponder responder) {
+  private boolean rejectConflict(
+      HttpRequestMessage request, ObjectPath path, HttpResponder responder) {
     Optional<Long> ifMatch = request.header("If-Match").map(Long::valueOf);
     if (store.matches(path.kind(), path.name(), ifMatch)) {
       return false;
@@ -204,59 +206,59 @@
     return true;
   }
 
-  private void changed(HttpResponder responder, StoredObject stored) {
+  private void respondAndNotify(HttpResponder responder, StoredObject stored) {
     if (random.nextDouble() < faults.loseAnswers()) {
       lostAnswers++;
       responder.abort();
     } else {
       ok(responder, stored);
     }
-    List.copyOf(watches).forEach(WaitingWatch::tell);
+    List.copyOf(watches).forEach(PendingWatch::completeIfChanged);
   }
 
   private void watch(HttpRequestMessage request, HttpResponder responder) {
     long after = Long.parseLong(request.query("after").orElse("0"));
     long waitMs = Math.min(MAX_WAIT_MS, Long.parseLong(request.query("wait_ms").orElse("0")));
     String kinds = request.query("kinds").orElse("");
-    if (!store.knows(after)) {
+    if (!store.hasHistoryAfter(after)) {
       error(responder, 410, "gone");
       return;
     }
-    WaitingWatch watch = new WaitingWatch(Set.of(kinds.split(",", -1)), after, responder);
+    PendingWatch watch = new PendingWatch(Set.of(kinds.split(",", -1)), after, responder);
     watches.add(watch);
     mostWatches = Math.max(mostWatches, watches.size());
     responder.onClose(() -> watches.remove(watch));
-    loop.schedule(watch::end, waitMs, TimeUnit.MILLISECONDS);
-    watch.tell();
+    loop.schedule(watch::complete, waitMs, TimeUnit.MILLISECONDS);
+    watch.completeIfChanged();
   }
 
-  /** One watch that waits for a change; compared by identity. */
-  private final class WaitingWatch {
+  /** A pending watch request; compared by identity. */
+  private final class PendingWatch {
 
     private final Set<String> kinds;
     private final long after;
     private final HttpResponder responder;
 
-    WaitingWatch(Set<String> kinds, long after, HttpResponder responder) {
+    PendingWatch(Set<String> kinds, long after, HttpResponder responder) {
       this.kinds = kinds;
       this.after = after;
       this.responder = responder;
     }
 
-    void tell() {
+    void completeIfChanged() {
       if (!store.changesAfter(after, kinds).isEmpty()) {
-        end();
+        complete();
       }
     }
 
-    void end() {
+    void complete() {
       if (watches.remove(this)) {
         ok(responder, new WatchAnswer(store.revision(), store.changesAfter(after, kinds)));
       }
     }
   }
 
-  /** Names the kinds of calls that the judge counts. */
+  /** Kinds of calls that the audit report counts. */
   private enum CallKind {
     READ,
     LIST,
@@ -308,7 +310,7 @@
 
   private record WatchAnswer(long revision, List<Change> events) {}
 
-  private record Judge(
+  private record AuditReport(
       long revision,
       Map<CallKind, Long> calls,
       long conflicts,
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/PlatformStore.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/PlatformStore.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * Holds the platform's objects and their latest changes; used on one event loop.
+ * Store of the platform's objects and their latest changes; confined to one event loop.
  *
- * <p>One counter numbers all changes, so a watcher names a single number for all kinds.
+ * <p>One counter numbers the changes of all kinds, so a watch needs a single revision.
  */
 final class PlatformStore {
 
@@ -37,7 +37,7 @@
     return objects.values().stream().filter(object -> object.kind().equals(kind)).toList();
   }
 
-  /** Returns whether a change that names this version may be made; 0 means no object. */
+  /** Returns whether the object has the expected version, if any; 0 means that it is absent. */
   boolean matches(String kind, String name, Optional<Long> ifMatch) {
     long current = find(kind, name).map(StoredObject::version).orElse(0L);
     return ifMatch.isEmpty() || ifMatch.get() == current;
@@ -54,9 +54,9 @@
   StoredObject delete(String kind, String name, String operation) {
     revision++;
     StoredObject last = objects.remove(new ObjectKey(kind, name));
-    StoredObject gone = new StoredObject(kind, name, revision, operation, last.value());
-    record(new Change(ChangeType.DELETE, gone));
-    return gone;
+    StoredObject deleted = new StoredObject(kind, name, revision, operation, last.value());
+    record(new Change(ChangeType.DELETE, deleted));
+    return deleted;
   }
 
   private void record(Change change) {
@@ -71,8 +71,8 @@
     changes.clear();
   }
 
-  /** Returns whether all changes after this revision are still known. */
-  boolean knows(long after) {
+  /** Returns whether all changes after this revision are available. */
+  boolean hasHistoryAfter(long after) {
     return after >= compactedUpTo && after <= revision;
   }
 
@@ -83,13 +83,13 @@
         .toList();
   }
 
-  /** Tells what a change did. */
+  /** Type of a change. */
   enum ChangeType {
     PUT,
     DELETE
   }
 
-  /** One object as the API shows it. */
+  /** An object as returned by the API. */
   record StoredObject(
       String kind, String name, long version, String operation, JsonElement value) {}
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/PrefixCache.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/PrefixCache.java
@@ -10,15 +10,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Holds a bounded number of prompt prefixes and reports its changes late and with gaps; used on one
+ * LRU cache of prompt prefixes whose change events are delayed and partly lost; confined to one
  * event loop.
  */
 final class PrefixCache {
 
-  /** Characters of a prompt that one step reads when they are not cached. */
+  /** Uncached prompt characters that one prefill step processes. */
   private static final int CHARS_PER_STEP = 2_048;
 
-  /** Characters that the cache holds as one prefix. */
+  /** Length of a cached prefix in characters. */
   private static final int PREFIX_CHARS = 256;
 
   private static final int MAX_EVENTS = 1_000;
@@ -44,7 +44,7 @@
     return cached.get(prefix(slot, prompt)) != null;
   }
 
-  /** Returns how many steps the prompt takes before its first token. */
+  /** Returns the number of prefill steps before the first token. */
   int prefillSteps(boolean hit, String prompt) {
     int uncached = hit ? Math.max(0, prompt.length() - PREFIX_CHARS) : prompt.length();
     return uncached / CHARS_PER_STEP;
@@ -92,13 +92,13 @@
     return reported.stream().filter(event -> event.sequence() > after).toList();
   }
 
-  /** Tells what happened to a prefix. */
+  /** Type of a cache event. */
   enum EventType {
     ADDED,
     EVICTED
   }
 
-  /** One change of the cache; numbers that are missing were lost. */
+  /** One change of the cache; a gap in the sequence numbers is a lost event. */
   record Event(long sequence, EventType type, String adapter, String version, String prefix) {}
 
   /** The answer to a call for events. */
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/RateLimit.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/RateLimit.java
@@ -2,7 +2,7 @@
 
 import io.sequoiapass.coordination.MillisClock;
 
-/** Lets through a number of calls a second, with a burst of as many; used on one event loop. */
+/** Token bucket whose burst is one second of calls; confined to one event loop. */
 final class RateLimit {
 
   private final int perSecond;
@@ -17,7 +17,7 @@
     this.refilledAt = clock.millis();
   }
 
-  boolean tryTake() {
+  boolean tryAcquire() {
     long now = clock.millis();
     available = Math.min(perSecond, available + (now - refilledAt) * perSecond / 1_000.0);
     refilledAt = now;
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/ServiceStandIn.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/ServiceStandIn.java
@@ -8,9 +8,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands in for a plain service: takes any path and counts each run, so that a doubled run shows.
+ * Stand-in for a plain service: accepts any path and counts runs, so tests can detect repeated
+ * ones.
  */
-final class ServiceStandIn extends JudgedHandler {
+final class ServiceStandIn extends AuditedHandler {
 
   private final String id;
   private final int workMs;
@@ -28,13 +29,13 @@
   }
 
   @Override
-  void switchFaults(String json) {
+  void setFaults(String json) {
     faults = read(json, Faults.class);
   }
 
   @Override
-  Object judge(HttpRequestMessage request) {
-    return new Judge(id, runs, refused, runsByRequest, runsByKey);
+  Object audit(HttpRequestMessage request) {
+    return new AuditReport(id, runs, refused, runsByRequest, runsByKey);
   }
 
   @Override
@@ -70,7 +71,7 @@
   private record Answer(
       String endpoint, String method, String target, String requestId, String idempotencyKey) {}
 
-  private record Judge(
+  private record AuditReport(
       String endpoint,
       long runs,
       long refused,
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/StandIn.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/StandIn.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs one stand-in on a loopback port.
+ * A stand-in server on a loopback port.
  *
  * <pre>{@code
  * try (StandIn engine = StandIn.start(StandInKind.ENGINE, "--id", "e1", "--slots", "2")) {
@@ -35,10 +35,10 @@
   /**
    * Starts a stand-in.
    *
-   * @param kind what to stand in for
-   * @param arguments its flags, {@code --port N} among them
-   * @throws UsageException if a flag is wrong
-   * @throws IOException if the port cannot be had
+   * @param kind type of the stand-in
+   * @param arguments its flags, for example {@code --port N}
+   * @throws UsageException if a flag is invalid
+   * @throws IOException if the port cannot be bound
    */
   public static StandIn start(StandInKind kind, String... arguments)
       throws UsageException, IOException {
@@ -46,7 +46,7 @@
     int port = flags.integer("port", 0, 65_535);
     EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
-      JudgedHandler handler = kind.create(flags, loop);
+      AuditedHandler handler = kind.create(flags, loop);
       HttpServer server =
           HttpServer.builder(loop, handler).maxBodyBytes(4 << 20).start(Addresses.loopback(port));
       return new StandIn(loop, server);
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/StandInKind.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/StandInKind.java
@@ -5,22 +5,22 @@
 import io.sequoiapass.testbed.cli.Flags;
 import io.sequoiapass.testbed.cli.UsageException;
 
-/** Names what can be stood in for, each with its flags. */
+/** Types of stand-ins with their flags. */
 public enum StandInKind {
   /** The platform's object API and host list. */
   PLATFORM {
     @Override
     Flags.Definition definition() {
       return withPort()
-          .flag("hosts-lag-ms", "1000", "how long a change of the host list stays unseen")
-          .flag("writes-per-second", "300", "writes taken a second")
-          .flag("reads-per-second", "2000", "reads and watches taken a second")
-          .flag("history", "10000", "changes kept for watches")
+          .flag("hosts-lag-ms", "1000", "delay before a change of the host list is visible")
+          .flag("writes-per-second", "300", "rate limit of writes")
+          .flag("reads-per-second", "2000", "rate limit of reads and watches")
+          .flag("history", "10000", "number of changes kept for watches")
           .flag("seed", "1", "seed of lost answers");
     }
 
     @Override
-    JudgedHandler create(Flags flags, EventLoopGroup loop) throws UsageException {
+    AuditedHandler create(Flags flags, EventLoopGroup loop) throws UsageException {
       return new PlatformStandIn(PlatformSettings.of(flags), loop.next(), MillisClock.monotonic());
     }
   },
@@ -32,7 +32,7 @@
     }
 
     @Override
-    JudgedHandler create(Flags flags, EventLoopGroup loop) throws UsageException {
+    AuditedHandler create(Flags flags, EventLoopGroup loop) throws UsageException {
       return new EngineStandIn(EngineSettings.of(flags), loop.next(), MillisClock.monotonic());
     }
   },
@@ -42,11 +42,11 @@
     Flags.Definition definition() {
       return withPort()
           .flag("id", "service", "the endpoint's name")
-          .flag("work-ms", "5", "how long a call takes");
+          .flag("work-ms", "5", "duration of a call");
     }
 
     @Override
-    JudgedHandler create(Flags flags, EventLoopGroup loop) throws UsageException {
+    AuditedHandler create(Flags flags, EventLoopGroup loop) throws UsageException {
       return new ServiceStandIn(flags.text("id"), flags.integer("work-ms", 0, 60_000), loop.next());
     }
   },
@@ -55,12 +55,12 @@
     @Override
     Flags.Definition definition() {
       return withPort()
-          .flag("load-ms", "250", "how long one load takes when alone")
+          .flag("load-ms", "250", "duration of a load when no other runs")
           .flag("seed", "1", "seed of failed loads");
     }
 
     @Override
-    JudgedHandler create(Flags flags, EventLoopGroup loop) throws UsageException {
+    AuditedHandler create(Flags flags, EventLoopGroup loop) throws UsageException {
       return new WeightStoreStandIn(
           flags.integer("load-ms", 1, 600_000),
           flags.integer("seed", 0, Integer.MAX_VALUE),
@@ -70,9 +70,9 @@
 
   abstract Flags.Definition definition();
 
-  abstract JudgedHandler create(Flags flags, EventLoopGroup loop) throws UsageException;
+  abstract AuditedHandler create(Flags flags, EventLoopGroup loop) throws UsageException;
 
-  /** Returns a line for each flag. */
+  /** Returns the help text, one line for each flag. */
   public String help() {
     return definition().help();
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/standin/WeightStoreStandIn.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/standin/WeightStoreStandIn.java
@@ -12,15 +12,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands in for the weight store: loads at the same time share its speed.
+ * Stand-in for the weight store; concurrent loads share its bandwidth.
  *
- * <p>Processor sharing: with n loads under way each goes on at an n-th of the full speed, so the
- * store never does more than one load's worth of work at a time.
+ * <p>Uses processor sharing: with n loads in progress each proceeds at 1/n of the full speed, so
+ * the total throughput never exceeds that of a single load.
  */
-final class WeightStoreStandIn extends JudgedHandler {
+final class WeightStoreStandIn extends AuditedHandler {
 
   private static final String PREFIX = "/v1/weights/";
-  private static final double FINISHED_MS = 0.5;
+  private static final double FINISHED_REMAINDER_MS = 0.5;
 
   private final int loadMs;
   private final EventLoop loop;
@@ -28,7 +28,7 @@
   private final List<Load> loads = new ArrayList<>();
   private Faults faults = new Faults(0, 0, List.of());
   private long advancedAt = System.nanoTime();
-  private Future<?> wakeUp;
+  private Future<?> nextCompletion;
   private long started;
   private long finished;
   private long failed;
@@ -41,15 +41,15 @@
   }
 
   @Override
-  void switchFaults(String json) {
+  void setFaults(String json) {
     advance();
     faults = read(json, Faults.class);
     schedule();
   }
 
   @Override
-  Object judge(HttpRequestMessage request) {
-    return new Judge(started, finished, failed, loads.size(), mostAtOnce);
+  Object audit(HttpRequestMessage request) {
+    return new AuditReport(started, finished, failed, loads.size(), mostAtOnce);
   }
 
   @Override
@@ -91,23 +91,25 @@
   }
 
   private void schedule() {
-    if (wakeUp != null) {
-      wakeUp.cancel(false);
-      wakeUp = null;
+    if (nextCompletion != null) {
+      nextCompletion.cancel(false);
+      nextCompletion = null;
     }
     if (loads.isEmpty()) {
       return;
     }
-    double least = loads.stream().mapToDouble(load -> load.remainingMs).min().orElseThrow();
-    double waitMs = Math.max(0, least) * loads.size() * faults.slowFactor();
-    wakeUp =
+    double minRemainingMs =
+        loads.stream().mapToDouble(load -> load.remainingMs).min().orElseThrow();
+    double waitMs = Math.max(0, minRemainingMs) * loads.size() * faults.slowFactor();
+    nextCompletion =
         loop.schedule(this::finishLoads, (long) Math.ceil(waitMs * 1_000), TimeUnit.MICROSECONDS);
   }
 
   private void finishLoads() {
-    wakeUp = null;
+    nextCompletion = null;
     advance();
-    List<Load> done = loads.stream().filter(load -> load.remainingMs < FINISHED_MS).toList();
+    List<Load> done =
+        loads.stream().filter(load -> load.remainingMs < FINISHED_REMAINDER_MS).toList();
     loads.removeAll(done);
     done.forEach(this::answer);
     schedule();
@@ -123,7 +125,7 @@
     load.responder.respond(200, Map.of(), load.name.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** One load under way; compared by identity. */
+  /** A load in progress; compared by identity. */
   private static final class Load {
 
     private final String name;
@@ -148,5 +150,6 @@
     }
   }
 
-  private record Judge(long started, long finished, long failed, int underWay, int mostAtOnce) {}
+  private record AuditReport(
+      long started, long finished, long failed, int underWay, int mostAtOnce) {}
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/standin/EngineStandInTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/standin/EngineStandInTest.java
@@ -60,9 +60,9 @@
     return probe.call("POST", "/v1/completions", completion(requestId, 1, handle, tokens));
   }
 
-  /** Waits until the engine runs a stream, or gives up after a bounded number of looks. */
+  /** Polls until the engine runs a stream; fails after 1,000 polls. */
   private void awaitRunning() throws Exception {
-    for (int look = 0; look < 1_000; look++) {
+    for (int poll = 0; poll < 1_000; poll++) {
       if (!probe.json("/v1/state").getAsJsonArray("running").isEmpty()) {
         return;
       }
@@ -74,28 +74,28 @@
   class Completions {
 
     @Test
-    void refusesWhatIsNotLoaded() throws Exception {
+    void rejectsCompletionForAdapterThatIsNotLoaded() throws Exception {
       order("LOAD", 1, "v1", "h1");
 
       assertThat(complete("r1", "h0", 2).statusCode()).isEqualTo(409);
       assertThat(complete("r2", "h1", 2).statusCode()).isEqualTo(200);
-      JsonObject judge = probe.json("/judge");
-      assertThat(judge.get("not_loaded").getAsInt()).isEqualTo(1);
-      assertThat(judge.getAsJsonArray("runs")).hasSize(1);
+      JsonObject audit = probe.json("/judge");
+      assertThat(audit.get("not_loaded").getAsInt()).isEqualTo(1);
+      assertThat(audit.getAsJsonArray("runs")).hasSize(1);
     }
 
     @Test
-    void namesAdapterVersionRequestAndIndexInEachToken() throws Exception {
+    void tokenTextContainsAdapterVersionRequestAndIndex() throws Exception {
       order("LOAD", 1, "v1", "h1");
 
       assertThat(complete("r1", "h1", 2).body())
           .contains("\"a@v1/r1#0 \"", "\"a@v1/r1#1 \"", "\"done\":true,\"tokens\":2");
     }
 
-    // The caller's connection closes without an answer; the engine ran the request all the same.
-    // Who takes the silence for "did not run" runs it twice, and the judge has to show both runs.
+    // The connection closes without an answer although the engine ran the request. A caller that
+    // treats this as "not run" runs it again, and the audit report must contain both runs.
     @Test
-    void countsARunWhoseAnswerWasLost() throws Exception {
+    void countsRunWhoseAnswerWasLost() throws Exception {
       order("LOAD", 1, "v1", "h1");
       probe.call("POST", "/faults", "{\"lose_answer\":true}");
       assertThatThrownBy(() -> complete("r1", "h1", 1)).isInstanceOf(IOException.class);
@@ -105,10 +105,10 @@
       assertThat(probe.json("/judge").getAsJsonArray("runs")).hasSize(2);
     }
 
-    // The reader loses its connection after the second token; the engine goes on, and a new reader
-    // gets the rest from the index it names, with no token twice and none missing.
+    // The connection closes after the second token while the engine keeps running. A new reader
+    // must receive the rest from its index, without duplicate or missing tokens.
     @Test
-    void resumesACutStream() throws Exception {
+    void resumesInterruptedStream() throws Exception {
       order("LOAD", 1, "v1", "h1");
       probe.call("POST", "/faults", "{\"cut_stream_after\":2}");
       assertThatThrownBy(() -> complete("r1", "h1", 5)).isInstanceOf(IOException.class);
@@ -124,10 +124,10 @@
   @Nested
   class Orders {
 
-    // An owner unloads an adapter that serves. The engine obeys, the reader's stream breaks off,
-    // and the judge counts it: without the count a broken promise would look like a cut connection.
+    // An owner unloads a serving adapter and the reader's stream breaks. The audit report must
+    // count the violation, or it could not be told apart from a broken connection.
     @Test
-    void countsTheEvictionOfAServingAdapter() throws Exception {
+    void countsEvictionOfServingAdapter() throws Exception {
       order("LOAD", 1, "v1", "h1");
       CompletableFuture<HttpResponse<String>> stream =
           probe.start("POST", "/v1/completions", completion("r1", 1, "h1", 5_000));
@@ -140,18 +140,18 @@
     }
 
     @Test
-    void countsNoViolationWhenNobodyIsServed() throws Exception {
+    void countsNoViolationForIdleAdapter() throws Exception {
       order("LOAD", 1, "v1", "h1");
       complete("r1", "h1", 1);
       order("UNLOAD", 1, "v1", "h1");
 
-      JsonObject judge = probe.json("/judge");
-      assertThat(judge.get("evictions").getAsInt()).isEqualTo(1);
-      assertThat(judge.get("violations").getAsInt()).isZero();
+      JsonObject audit = probe.json("/judge");
+      assertThat(audit.get("evictions").getAsInt()).isEqualTo(1);
+      assertThat(audit.get("violations").getAsInt()).isZero();
     }
 
     @Test
-    void refusesAnOldFenceOnlyWhenItChecks() throws Exception {
+    void rejectsOutdatedFencingNumberOnlyIfChecksAreEnabled() throws Exception {
       order("LOAD", 5, "v1", "h1");
       HttpResponse<String> refused = order("UNLOAD", 4, "v1", "h1");
       assertThat(refused.statusCode()).isEqualTo(409);
@@ -166,17 +166,17 @@
     }
 
     @Test
-    void loadsOnceWhenTheOrderComesTwice() throws Exception {
+    void loadsOnceForRepeatedOrder() throws Exception {
       order("LOAD", 1, "v1", "h1");
       assertThat(order("LOAD", 1, "v1", "h1").statusCode()).isEqualTo(200);
       assertThat(order("LOAD", 1, "v2", "h2").body()).contains("no_slot");
       assertThat(probe.json("/judge").get("loads").getAsInt()).isEqualTo(1);
     }
 
-    // A load's weights come and it still fails. The slot must be free again, or the engine would
-    // refuse all later loads for want of a slot.
+    // A load fails after its weights have arrived. The slot must be freed, or the engine would
+    // reject all later loads with no_slot.
     @Test
-    void freesTheSlotOfAFailedLoad() throws Exception {
+    void freesSlotAfterFailedLoad() throws Exception {
       probe.call("POST", "/faults", "{\"fail_loads\":1}");
       assertThat(order("LOAD", 1, "v1", "h1").statusCode()).isEqualTo(502);
       probe.call("POST", "/faults", "{}");
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void forgetsEverythingOnRestart() throws Exception {
+    void losesStateOnRestart() throws Exception {
       order("LOAD", 1, "v1", "h1");
       String boot = probe.json("/v1/state").get("boot").getAsString();
 
--- a/testbed/src/test/java/io/sequoiapass/testbed/standin/PlatformStandInTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/standin/PlatformStandInTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void changesOnlyTheVersionNamed() throws Exception {
+  void rejectsWriteWithOutdatedVersion() throws Exception {
     assertThat(put("0", "first").statusCode()).isEqualTo(200);
 
     HttpResponse<String> late = put("0", "second");
@@ -47,10 +47,10 @@
     assertThat(put("1", "third").body()).contains("\"version\":2");
   }
 
-  // The writer sees a closed connection though its change took effect. The object then carries its
-  // operation id, which is all that lets a retry recognise its own change.
+  // The connection closes although the write took effect. The stored operation id is the only way
+  // for a retry to recognise its own write.
   @Test
-  void keepsAChangeWhoseAnswerWasLost() throws Exception {
+  void keepsWriteWhoseAnswerWasLost() throws Exception {
     probe.call("POST", "/faults", "{\"lose_answers\":1}");
     assertThatThrownBy(() -> put("0", "lost")).isInstanceOf(IOException.class);
     probe.call("POST", "/faults", "{}");
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void tellsAWaitingWatch() throws Exception {
+  void notifiesPendingWatch() throws Exception {
     put("0", "first");
     CompletableFuture<HttpResponse<String>> watch =
         probe.start("GET", "/v1/watch?kinds=preset,lease&after=1&wait_ms=9000", "");
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void sendsAWatchOfForgottenHistoryBackToTheList() throws Exception {
+  void rejectsWatchOfCompactedHistory() throws Exception {
     put("0", "first");
     put("1", "second");
     probe.call("POST", "/faults", "{\"compact\":true}");
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void refusesWritesBeyondTheRate() throws Exception {
+  void rejectsWritesAboveRateLimit() throws Exception {
     int refused = 0;
     for (int i = 0; i < 50; i++) {
       HttpResponse<String> answer = probe.call("PUT", "/v1/objects/adapter/a" + i, "{}");
--- a/testbed/src/test/java/io/sequoiapass/testbed/standin/WeightStoreStandInTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/standin/WeightStoreStandInTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void sharesItsSpeedAmongLoads() throws Exception {
+  void sharesBandwidthAmongLoads() throws Exception {
     long start = System.nanoTime();
     CompletableFuture<HttpResponse<String>> one = probe.start("GET", "/v1/weights/a/v1", "");
     CompletableFuture<HttpResponse<String>> two = probe.start("GET", "/v1/weights/b/v1", "");
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void knowsNoMissingWeights() throws Exception {
+  void answersNotFoundForMissingWeights() throws Exception {
     probe.call("POST", "/faults", "{\"missing\":[\"a/v1\"]}");
     assertThat(probe.call("GET", "/v1/weights/a/v1", "").statusCode()).isEqualTo(404);
     assertThat(probe.call("GET", "/v1/weights/a/v2", "").statusCode()).isEqualTo(200);
