--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/Cluster.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/Cluster.java
@@ -13,7 +13,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Runs daemons and stand-ins as processes of their own, with a configuration on the platform.
+ * A cluster of daemons and stand-ins, each in its own process, with its configuration stored on the
+ * platform.
  *
  * <pre>{@code
  * try (Cluster cluster = Cluster.builder().dataCentres("north", "south").daemons(2).start()) {
@@ -30,8 +31,8 @@
 
   private static final String TESTBED = "io.sequoiapass.testbed.Testbed";
   private static final String DAEMON = "io.sequoiapass.daemon.Main";
-  private static final long START_LIMIT_MS = 30_000;
-  private static final long LOOK_MS = 50;
+  private static final long START_TIMEOUT_MS = 30_000;
+  private static final long POLL_INTERVAL_MS = 50;
 
   private final ClusterSettings settings;
   private final ProcessLauncher launcher;
@@ -70,28 +71,28 @@
   }
 
   private void startAll() throws IOException, InterruptedException {
-    place();
+    createNodes();
     platform = launcher.start("platform", TESTBED, platformCommand());
     weights =
         launcher.start("weights", TESTBED, "weights", "--port", Integer.toString(weightsPort));
     for (EndpointNode endpoint : endpoints) {
       launch(endpoint);
     }
-    platform.awaitReady(START_LIMIT_MS);
+    platform.awaitReady(START_TIMEOUT_MS);
     new ClusterConfiguration(settings, daemons, endpoints, proxies).write(objects());
     for (DaemonNode daemon : daemons) {
       launch(daemon);
     }
-    weights.awaitReady(START_LIMIT_MS);
+    weights.awaitReady(START_TIMEOUT_MS);
     for (EndpointNode endpoint : endpoints) {
-      endpoint.process().awaitReady(START_LIMIT_MS);
+      endpoint.process().awaitReady(START_TIMEOUT_MS);
     }
     for (DaemonNode daemon : daemons) {
-      daemon.process().awaitReady(START_LIMIT_MS);
+      daemon.process().awaitReady(START_TIMEOUT_MS);
     }
   }
 
-  private void place() throws IOException {
+  private void createNodes() throws IOException {
     for (String dataCentre : settings.dataCentres()) {
       for (int i = 0; i < settings.daemons(); i++) {
         daemons.add(new DaemonNode("d" + (daemons.size() + 1), dataCentre, ports));
@@ -105,15 +106,15 @@
   private void addEndpoints(int count, String prefix, String dataCentre, EndpointKind kind)
       throws IOException {
     for (int i = 0; i < count; i++) {
-      long before = endpoints.stream().filter(endpoint -> endpoint.kind() == kind).count();
-      endpoints.add(new EndpointNode(prefix + (before + 1), dataCentre, kind, ports));
+      long existing = endpoints.stream().filter(endpoint -> endpoint.kind() == kind).count();
+      endpoints.add(new EndpointNode(prefix + (existing + 1), dataCentre, kind, ports));
     }
   }
 
   private String[] platformCommand() {
     List<String> command = new ArrayList<>();
     command.add("platform");
-    flag(command, "port", platformPort);
+    addFlag(command, "port", platformPort);
     command.addAll(settings.platformFlags());
     return command.toArray(String[]::new);
   }
@@ -122,13 +123,13 @@
     List<String> command = new ArrayList<>();
     boolean engine = endpoint.kind() == EndpointKind.ENGINE;
     command.add(engine ? "engine" : "service");
-    flag(command, "port", endpoint.address().getPort());
-    flag(command, "id", endpoint.id());
+    addFlag(command, "port", endpoint.address().getPort());
+    addFlag(command, "id", endpoint.id());
     if (engine) {
-      flag(command, "weights", Addresses.text(Addresses.loopback(weightsPort)));
-      flag(command, "slots", settings.slots());
-      flag(command, "max-streams", settings.maxStreams());
-      flag(command, "checks-fence", settings.checksFence());
+      addFlag(command, "weights", Addresses.text(Addresses.loopback(weightsPort)));
+      addFlag(command, "slots", settings.slots());
+      addFlag(command, "max-streams", settings.maxStreams());
+      addFlag(command, "checks-fence", settings.checksFence());
       command.addAll(settings.engineFlags());
     }
     endpoint.process(launcher.start(endpoint.id(), List.of(), TESTBED, command));
@@ -137,17 +138,17 @@
   private void launch(DaemonNode daemon) throws IOException {
     List<String> command = new ArrayList<>();
     command.add("entry");
-    flag(command, "id", daemon.id());
-    flag(command, "data-centre", daemon.dataCentre());
-    flag(command, "host", daemon.host());
-    flag(command, "listen-address", daemon.callers().getAddress().getHostAddress());
-    flag(command, "caller-port", daemon.callers().getPort());
-    flag(command, "operator-port", daemon.operators().getPort());
-    flag(command, "peer-port", daemon.peers().getPort());
+    addFlag(command, "id", daemon.id());
+    addFlag(command, "data-centre", daemon.dataCentre());
+    addFlag(command, "host", daemon.host());
+    addFlag(command, "listen-address", daemon.callers().getAddress().getHostAddress());
+    addFlag(command, "caller-port", daemon.callers().getPort());
+    addFlag(command, "operator-port", daemon.operators().getPort());
+    addFlag(command, "peer-port", daemon.peers().getPort());
     InetSocketAddress direct = Addresses.loopback(platformPort);
-    flag(command, "platform", Addresses.text(proxies.platformFor(daemon, direct)));
-    flag(command, "peers", peersOf(daemon));
-    flag(command, "ledger-first-install", true);
+    addFlag(command, "platform", Addresses.text(proxies.platformFor(daemon, direct)));
+    addFlag(command, "peers", peersOf(daemon));
+    addFlag(command, "ledger-first-install", true);
     command.addAll(settings.daemonFlags());
     daemon.process(launcher.start(daemon.id(), settings.daemonJvmFlags(), DAEMON, command));
   }
@@ -165,7 +166,7 @@
         .collect(Collectors.joining(","));
   }
 
-  private static void flag(List<String> command, String name, Object value) {
+  private static void addFlag(List<String> command, String name, Object value) {
     command.add("--" + name);
     command.add(String.valueOf(value));
   }
@@ -184,7 +185,7 @@
     return daemons.stream().filter(node -> node.id().equals(id)).findFirst().orElseThrow();
   }
 
-  /** Returns engines and endpoints of the plain service. */
+  /** Returns the engines and the endpoints of the plain service. */
   public List<EndpointNode> endpoints() {
     return List.copyOf(endpoints);
   }
@@ -212,12 +213,12 @@
     return proxies;
   }
 
-  /** Returns where the platform listens, past any proxy. */
+  /** Returns the address of the platform itself, bypassing any proxy. */
   public InetSocketAddress platformAddress() {
     return Addresses.loopback(platformPort);
   }
 
-  /** Returns where the weight store listens. */
+  /** Returns the address of the weight store. */
   public InetSocketAddress weightsAddress() {
     return Addresses.loopback(weightsPort);
   }
@@ -232,12 +233,12 @@
     return weights;
   }
 
-  /** Returns what sends calls to the cluster. */
+  /** Returns the HTTP client for calls to the cluster. */
   public BlockingHttp http() {
     return http;
   }
 
-  /** Returns what reads and writes the platform's objects. */
+  /** Returns a client that reads and writes the platform's objects. */
   public PlatformObjects objects() {
     return new PlatformObjects(http, platformAddress());
   }
@@ -245,9 +246,9 @@
   /**
    * Sets the faults of a stand-in.
    *
-   * @param standIn where it listens
+   * @param standIn address of the stand-in
    * @param json the faults, {@code {}} to clear
-   * @throws IOException if it does not take them
+   * @throws IOException if the stand-in rejects them
    * @throws InterruptedException if the wait is interrupted
    */
   public void faults(InetSocketAddress standIn, String json)
@@ -259,7 +260,7 @@
   }
 
   /**
-   * Ends a daemon's process, if it still runs, and starts the next one in its place.
+   * Kills a daemon's process if it is running and starts a new one on the same ports.
    *
    * @param daemon the daemon
    * @throws IOException if it cannot be started
@@ -268,11 +269,11 @@
   public void restart(DaemonNode daemon) throws IOException, InterruptedException {
     daemon.process().close();
     launch(daemon);
-    daemon.process().awaitReady(START_LIMIT_MS);
+    daemon.process().awaitReady(START_TIMEOUT_MS);
   }
 
   /**
-   * Ends an endpoint's process, if it still runs, and starts the next one in its place.
+   * Kills an endpoint's process if it is running and starts a new one on the same port.
    *
    * @param endpoint the endpoint
    * @throws IOException if it cannot be started
@@ -281,36 +282,36 @@
   public void restart(EndpointNode endpoint) throws IOException, InterruptedException {
     endpoint.process().close();
     launch(endpoint);
-    endpoint.process().awaitReady(START_LIMIT_MS);
+    endpoint.process().awaitReady(START_TIMEOUT_MS);
   }
 
   /**
-   * Waits until every daemon says that it is ready to serve.
+   * Waits until every daemon reports that it is ready.
    *
-   * @param limitMs how long to wait at most, in milliseconds
-   * @throws IOException if one is not ready in time
+   * @param limitMs maximum wait in milliseconds
+   * @throws IOException if a daemon is not ready in time or its process has ended
    * @throws InterruptedException if the wait is interrupted
    */
   public void awaitReady(long limitMs) throws IOException, InterruptedException {
-    long looks = limitMs / LOOK_MS;
+    long remainingPolls = limitMs / POLL_INTERVAL_MS;
     for (DaemonNode daemon : daemons) {
       while (!ready(daemon)) {
-        looks--;
-        if (looks < 0 || !daemon.process().alive()) {
+        remainingPolls--;
+        if (remainingPolls < 0 || !daemon.process().alive()) {
           throw new IOException(daemon.id() + " not ready:\n" + daemon.process().lastErrors());
         }
-        Thread.sleep(LOOK_MS);
+        Thread.sleep(POLL_INTERVAL_MS);
       }
     }
   }
 
   /**
    * Waits until every daemon is ready and has answered a request for the first adapter, and one for
-   * the plain service where there is one. A daemon is ready once it has a configuration; it may
-   * take a moment more to reach its peers and the endpoints.
+   * the plain service if there is one. A daemon is ready once it has a configuration, which can be
+   * before it has connected to its peers and the endpoints.
    *
-   * @param limitMs how long to wait at most, in milliseconds
-   * @throws IOException if one does not answer in time
+   * @param limitMs maximum wait in milliseconds
+   * @throws IOException if a daemon does not answer successfully in time
    * @throws InterruptedException if the wait is interrupted
    */
   public void awaitServing(long limitMs) throws IOException, InterruptedException {
@@ -331,8 +332,10 @@
 
   private void awaitAnswer(HttpCall call, long limitMs) throws IOException, InterruptedException {
     HttpAnswer answer = http.send(call);
-    for (long looks = limitMs / LOOK_MS; !answer.ok() && looks > 0; looks--) {
-      Thread.sleep(LOOK_MS);
+    for (long remainingPolls = limitMs / POLL_INTERVAL_MS;
+        !answer.ok() && remainingPolls > 0;
+        remainingPolls--) {
+      Thread.sleep(POLL_INTERVAL_MS);
       answer = http.send(call);
     }
     if (!answer.ok()) {
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterBuilder.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterBuilder.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Builds a {@link Cluster}; not safe for use by several threads. */
+/** Builder of a {@link Cluster}; not safe for use by several threads. */
 public final class ClusterBuilder {
 
   private List<String> dataCentres = List.of("yard-north");
@@ -38,7 +38,7 @@
   /**
    * Sets data centres named {@code dc-1}, {@code dc-2} and so on.
    *
-   * @param count how many
+   * @param count the number
    */
   public ClusterBuilder dataCentres(int count) {
     dataCentres = IntStream.rangeClosed(1, count).mapToObj(i -> "dc-" + i).toList();
@@ -46,59 +46,59 @@
   }
 
   /**
-   * Sets the daemons in each data centre.
+   * Sets the number of daemons in each data centre.
    *
-   * @param count how many
+   * @param count the number
    */
   public ClusterBuilder daemons(int count) {
-    daemons = checked("daemons", count);
+    daemons = requireNonNegative("daemons", count);
     return this;
   }
 
   /**
-   * Sets the engines in each data centre.
+   * Sets the number of engines in each data centre.
    *
-   * @param count how many
+   * @param count the number
    */
   public ClusterBuilder engines(int count) {
-    engines = checked("engines", count);
+    engines = requireNonNegative("engines", count);
     return this;
   }
 
   /**
-   * Sets the endpoints of the plain service in each data centre.
+   * Sets the number of endpoints of the plain service in each data centre.
    *
-   * @param count how many
+   * @param count the number
    */
   public ClusterBuilder services(int count) {
-    services = checked("services", count);
+    services = requireNonNegative("services", count);
     return this;
   }
 
   /**
-   * Sets the adapters configured.
+   * Sets the number of configured adapters.
    *
-   * @param count how many
+   * @param count the number
    */
   public ClusterBuilder adapters(int count) {
-    adapters = checked("adapters", count);
+    adapters = requireNonNegative("adapters", count);
     return this;
   }
 
   /**
-   * Sets what each engine holds and runs.
+   * Sets the capacity of each engine.
    *
-   * @param adapterSlots adapters at once
-   * @param streams streams at once
+   * @param adapterSlots adapter slots
+   * @param streams maximum concurrent streams
    */
   public ClusterBuilder engineSize(int adapterSlots, int streams) {
-    slots = checked("slots", adapterSlots);
-    maxStreams = checked("streams", streams);
+    slots = requireNonNegative("slots", adapterSlots);
+    maxStreams = requireNonNegative("streams", streams);
     return this;
   }
 
   /**
-   * Sets whether engines refuse orders with an old fencing number.
+   * Sets whether engines reject orders with an outdated fencing number.
    *
    * @param checks whether they do
    */
@@ -107,20 +107,20 @@
     return this;
   }
 
-  /** Puts fault proxies between daemons, endpoints and platform. */
+  /** Puts fault proxies between each daemon and the platform, its peers and the endpoints. */
   public ClusterBuilder withProxies() {
     proxies = ProxyPlan.ALL;
     return this;
   }
 
-  /** Puts fault proxies between daemons and platform only. */
+  /** Puts fault proxies between daemons and the platform only. */
   public ClusterBuilder withPlatformProxies() {
     proxies = ProxyPlan.PLATFORM;
     return this;
   }
 
   /**
-   * Adds flags to each engine's command.
+   * Sets additional command-line flags of each engine, replacing earlier ones.
    *
    * @param flags the flags
    */
@@ -130,7 +130,7 @@
   }
 
   /**
-   * Adds flags to the platform's command.
+   * Sets additional command-line flags of the platform, replacing earlier ones.
    *
    * @param flags the flags
    */
@@ -140,11 +140,12 @@
   }
 
   /**
-   * Sets the daemons' leases, in place of the defaults.
+   * Overrides the lease settings of the daemons.
    *
-   * @param durationMs how long a lease lasts, in milliseconds
-   * @param marginMs how long before its end a daemon stops its orders, in milliseconds
-   * @param heartbeatMs time between heartbeats, in milliseconds
+   * @param durationMs lease duration in milliseconds
+   * @param marginMs time before lease expiry at which a daemon stops sending orders, in
+   *     milliseconds
+   * @param heartbeatMs heartbeat interval in milliseconds
    */
   public ClusterBuilder leases(int durationMs, int marginMs, int heartbeatMs) {
     leaseFlags =
@@ -156,7 +157,7 @@
   }
 
   /**
-   * Adds flags to each daemon's command.
+   * Sets additional command-line flags of each daemon, replacing earlier ones.
    *
    * @param flags the flags
    */
@@ -166,7 +167,7 @@
   }
 
   /**
-   * Adds flags to each daemon's virtual machine.
+   * Sets additional JVM flags of each daemon, replacing earlier ones.
    *
    * @param flags the flags
    */
@@ -176,7 +177,7 @@
   }
 
   /**
-   * Starts the cluster and returns once every process listens.
+   * Starts the cluster and returns once every process is listening.
    *
    * @throws IOException if a process does not start
    * @throws InterruptedException if the wait is interrupted
@@ -201,7 +202,7 @@
             daemonJvmFlags));
   }
 
-  private static int checked(String name, int count) {
+  private static int requireNonNegative(String name, int count) {
     if (count < 0) {
       throw new IllegalArgumentException(name + " must not be negative: " + count);
     }
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterConfiguration.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterConfiguration.java
@@ -9,10 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes the objects of a cluster to its platform; used by one thread. */
+/** Writes the configuration objects of a cluster to its platform; confined to one thread. */
 final class ClusterConfiguration {
 
-  private static final int PLAIN_CALLS = 16;
+  private static final int PLAIN_SERVICE_CONCURRENCY = 16;
   private static final int MAX_IN_FLIGHT = 100_000;
 
   private final ClusterSettings settings;
@@ -84,7 +84,7 @@
         engine ? ClusterNames.MODEL : null,
         engine ? null : ClusterNames.SLIPS,
         engine ? settings.slots() : null,
-        engine ? settings.maxStreams() : PLAIN_CALLS,
+        engine ? settings.maxStreams() : PLAIN_SERVICE_CONCURRENCY,
         engine && settings.checksFence(),
         "ACTIVE");
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterNames.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterNames.java
@@ -1,21 +1,21 @@
 package io.sequoiapass.testbed.launch;
 
-/** Names what a cluster configures. */
+/** Names of the objects in the configuration of a cluster. */
 public final class ClusterNames {
 
   /** The base model of all engines. */
   public static final String MODEL = "base-a";
 
-  /** The service that uses adapters; its calls may run twice. */
+  /** The service that uses adapters; its calls are repeatable. */
   public static final String NOTES = "notes";
 
-  /** The plain service; its calls may not run twice. */
+  /** The plain service; its calls are not repeatable. */
   public static final String SLIPS = "slips";
 
-  /** The version of each adapter before the one in force; it may still be named. */
+  /** The previous version of each adapter; requests may still name it. */
   public static final String FORMER_VERSION = "v1";
 
-  /** The version of each adapter that is in force. */
+  /** The current version of each adapter. */
   public static final String CURRENT_VERSION = "v2";
 
   private ClusterNames() {}
@@ -23,7 +23,7 @@
   /**
    * Returns an adapter's name.
    *
-   * @param rank its place by popularity, from 0
+   * @param rank its popularity rank, from 0
    */
   public static String adapter(int rank) {
     return "adapter-" + rank;
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterProxies.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterProxies.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Holds the fault proxies of a cluster: one before the platform for each daemon, one for each
- * daemon and peer it connects to, one before each endpoint for all daemons.
+ * The fault proxies of a cluster: one between each daemon and the platform, one for each ordered
+ * pair of daemons, and one in front of each endpoint that all daemons share.
  *
  * <p>Safe for use by several threads once the cluster runs.
  */
@@ -30,11 +30,11 @@
       }
     }
     if (plan.beforePeersAndEndpoints()) {
-      openOthers(daemons, endpoints);
+      openPeerAndEndpointProxies(daemons, endpoints);
     }
   }
 
-  private void openOthers(List<DaemonNode> daemons, List<EndpointNode> endpoints)
+  private void openPeerAndEndpointProxies(List<DaemonNode> daemons, List<EndpointNode> endpoints)
       throws IOException {
     for (DaemonNode daemon : daemons) {
       for (DaemonNode peer : daemons) {
@@ -75,7 +75,7 @@
   }
 
   /**
-   * Returns the proxy before the platform.
+   * Returns the proxy between a daemon and the platform.
    *
    * @param daemon the daemon that connects
    */
@@ -94,7 +94,7 @@
   }
 
   /**
-   * Returns the proxy before an endpoint.
+   * Returns the proxy in front of an endpoint.
    *
    * @param endpoint the endpoint
    */
@@ -105,7 +105,7 @@
   private FaultProxy find(String key) {
     FaultProxy proxy = proxies.get(key);
     if (proxy == null) {
-      throw new IllegalStateException("no proxy " + key + "; plan: " + plan);
+      throw new IllegalStateException("no proxy " + key + " in proxy plan " + plan);
     }
     return proxy;
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterSettings.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterSettings.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * Tells what a cluster is made of.
+ * Size and flags of a cluster.
  *
  * @param dataCentres names of the data centres
  * @param daemons daemons in each data centre
  * @param engines engines in each data centre
  * @param services endpoints of the plain service in each data centre
- * @param adapters adapters configured
+ * @param adapters number of configured adapters
  * @param slots adapter slots of each engine
- * @param maxStreams streams of each engine
- * @param checksFence whether engines refuse orders with an old fencing number
- * @param proxies where fault proxies stand
- * @param engineFlags further flags of each engine
- * @param platformFlags further flags of the platform
- * @param daemonFlags further flags of each daemon
- * @param daemonJvmFlags flags of each daemon's virtual machine
+ * @param maxStreams maximum concurrent streams of each engine
+ * @param checksFence whether engines reject orders with an outdated fencing number
+ * @param proxies which connections go through fault proxies
+ * @param engineFlags additional flags of each engine
+ * @param platformFlags additional flags of the platform
+ * @param daemonFlags additional flags of each daemon
+ * @param daemonJvmFlags JVM flags of each daemon
  */
 record ClusterSettings(
     List<String> dataCentres,
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/DaemonNode.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/DaemonNode.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * Is one daemon's place in a cluster; its ports stay when its process is replaced.
+ * A daemon of a cluster; its ports stay the same when its process is restarted.
  *
  * <p>Safe for use by several threads.
  */
@@ -41,22 +41,22 @@
     return "host-" + id;
   }
 
-  /** Returns where it takes callers. */
+  /** Returns the address for callers. */
   public InetSocketAddress callers() {
     return Addresses.loopback(callerPort);
   }
 
-  /** Returns where it takes operators. */
+  /** Returns the address for operators. */
   public InetSocketAddress operators() {
     return Addresses.loopback(operatorPort);
   }
 
-  /** Returns where it takes peers. */
+  /** Returns the address for peers. */
   public InetSocketAddress peers() {
     return Addresses.loopback(peerPort);
   }
 
-  /** Returns its process, the last one after a restart. */
+  /** Returns its current process. */
   public LaunchedProcess process() {
     return process;
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/EndpointNode.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/EndpointNode.java
@@ -5,8 +5,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * Is one engine's or plain service's place in a cluster; its port stays when its process is
- * replaced.
+ * An engine or an endpoint of the plain service; its port stays the same when its process is
+ * restarted.
  *
  * <p>Safe for use by several threads.
  */
@@ -26,7 +26,7 @@
     this.port = ports.take();
   }
 
-  /** Names what an endpoint is; the names are those of the configuration. */
+  /** Type of an endpoint; the configuration uses the same names. */
   public enum EndpointKind {
     /** A model engine. */
     ENGINE,
@@ -39,7 +39,7 @@
     return id;
   }
 
-  /** Returns the data centre it stands in. */
+  /** Returns the data centre it runs in. */
   public String dataCentre() {
     return dataCentre;
   }
@@ -49,17 +49,17 @@
     return "host-" + id;
   }
 
-  /** Returns what it is. */
+  /** Returns its type. */
   public EndpointKind kind() {
     return kind;
   }
 
-  /** Returns where it listens, past any proxy: for faults and the judge. */
+  /** Returns its own address, bypassing any proxy; used for faults and audits. */
   public InetSocketAddress address() {
     return Addresses.loopback(port);
   }
 
-  /** Returns its process, the last one after a restart. */
+  /** Returns its current process. */
   public LaunchedProcess process() {
     return process;
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/FreePorts.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/FreePorts.java
@@ -5,11 +5,11 @@
 import java.net.ServerSocket;
 
 /**
- * Hands out loopback ports that nobody listens on.
+ * Allocates free loopback ports.
  *
- * <p>The ports lie below those that the system gives to outgoing connections. A port from that
- * range could be taken by some connection between here and the start of the process meant for it,
- * and the process would fail to listen. Safe for use by several threads.
+ * <p>The ports lie below the ephemeral range. The system could assign an ephemeral port to an
+ * outgoing connection between its allocation and the start of the process that it is meant for, and
+ * the process would fail to bind. Safe for use by several threads.
  */
 public final class FreePorts {
 
@@ -18,18 +18,18 @@
 
   private int next;
 
-  /** Starts at a place that differs from process to process, so that two runs seldom meet. */
+  /** Starts at an offset derived from the process id, so that concurrent runs rarely collide. */
   public FreePorts() {
     next = FIRST + (int) (ProcessHandle.current().pid() * 101 % (LAST - FIRST));
   }
 
   /**
-   * Returns a port that nobody listens on, another one each time.
+   * Returns a free port, a different one on each call until the range is exhausted.
    *
-   * @throws IOException if there is none
+   * @throws IOException if no port is free
    */
   public synchronized int take() throws IOException {
-    for (int tries = 0; tries < LAST - FIRST; tries++) {
+    for (int attempts = 0; attempts < LAST - FIRST; attempts++) {
       next = next + 1 > LAST ? FIRST : next + 1;
       if (free(next)) {
         return next;
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/LaunchedProcess.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/LaunchedProcess.java
@@ -16,14 +16,14 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Is one process that the launcher started.
+ * A process started by {@link ProcessLauncher}.
  *
  * <p>Safe for use by several threads.
  */
 public final class LaunchedProcess implements AutoCloseable {
 
   private static final String READY = "ready ";
-  private static final long END_SECONDS = 10;
+  private static final long EXIT_TIMEOUT_S = 10;
   private static final int TAIL_LINES = 20;
 
   private final String name;
@@ -71,21 +71,22 @@
     return name;
   }
 
-  /** Returns the process's number. */
+  /** Returns the process id. */
   public long pid() {
     return process.pid();
   }
 
-  /** Returns whether it runs, paused or not. */
+  /** Returns whether the process is alive, paused or not. */
   public boolean alive() {
     return process.isAlive();
   }
 
   /**
-   * Waits until the process listens.
+   * Waits until the process is listening.
    *
-   * @param limitMs how long to wait at most, in milliseconds
-   * @throws IOException if it ended or was not ready in time; the message holds its last lines
+   * @param limitMs maximum wait in milliseconds
+   * @throws IOException if the process ended or was not ready in time; the message contains the
+   *     last lines of its log
    * @throws InterruptedException if the wait is interrupted
    */
   public void awaitReady(long limitMs) throws IOException, InterruptedException {
@@ -97,15 +98,15 @@
   }
 
   /**
-   * Returns a port of the line that told the process was ready.
+   * Returns a port from the ready line of the process.
    *
-   * @param key the port's name in that line, as {@code caller}
+   * @param key the port's name in that line, for example {@code caller}
    */
   public int port(String key) {
     Map<String, Integer> ports = ready.getNow(Map.of());
     Integer port = ports.get(key);
     if (port == null) {
-      throw new IllegalStateException(name + " told no port '" + key + "': " + ports);
+      throw new IllegalStateException(name + " reported no port '" + key + "': " + ports);
     }
     return port;
   }
@@ -121,7 +122,7 @@
   }
 
   /**
-   * Returns what the process has used so far.
+   * Returns the resource usage of the process.
    *
    * @throws IOException if the process has ended
    */
@@ -129,41 +130,41 @@
     return ProcessStats.of(pid());
   }
 
-  /** Asks it to stop (SIGTERM). */
+  /** Requests a stop (SIGTERM). */
   public void stop() {
     process.destroy();
   }
 
-  /** Ends it at once (SIGKILL), paused or not. */
+  /** Kills the process (SIGKILL), paused or not. */
   public void kill() {
     process.destroyForcibly();
   }
 
   /**
-   * Pauses it (SIGSTOP): its connections stay open and nobody answers on them.
+   * Pauses the process (SIGSTOP); its connections stay open but receive no answers.
    *
    * @throws IOException if the signal cannot be sent
-   * @throws InterruptedException if the wait for it is interrupted
+   * @throws InterruptedException if the wait for the signal is interrupted
    */
   public void pause() throws IOException, InterruptedException {
     signal("STOP");
   }
 
   /**
-   * Lets it go on after a pause (SIGCONT).
+   * Resumes the process after a pause (SIGCONT).
    *
    * @throws IOException if the signal cannot be sent
-   * @throws InterruptedException if the wait for it is interrupted
+   * @throws InterruptedException if the wait for the signal is interrupted
    */
   public void resume() throws IOException, InterruptedException {
     signal("CONT");
   }
 
   /**
-   * Tells it to read its settings again (SIGHUP).
+   * Requests a reload of its settings (SIGHUP).
    *
    * @throws IOException if the signal cannot be sent
-   * @throws InterruptedException if the wait for it is interrupted
+   * @throws InterruptedException if the wait for the signal is interrupted
    */
   public void reload() throws IOException, InterruptedException {
     signal("HUP");
@@ -174,31 +175,31 @@
       throw new IOException(name + " has ended");
     }
     Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(pid())).start();
-    if (!kill.waitFor(END_SECONDS, TimeUnit.SECONDS) || kill.exitValue() != 0) {
+    if (!kill.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS) || kill.exitValue() != 0) {
       throw new IOException("cannot send " + signal + " to " + name);
     }
   }
 
   /**
-   * Waits until it has ended and returns its exit code.
+   * Waits for the process to end and returns its exit code.
    *
-   * @param limitMs how long to wait at most, in milliseconds
-   * @throws IOException if it still runs then
+   * @param limitMs maximum wait in milliseconds
+   * @throws IOException if the process is still running after that time
    * @throws InterruptedException if the wait is interrupted
    */
   public int awaitExit(long limitMs) throws IOException, InterruptedException {
     if (!process.waitFor(limitMs, TimeUnit.MILLISECONDS)) {
-      throw new IOException(name + " still runs after " + limitMs + " ms");
+      throw new IOException(name + " is still running after " + limitMs + " ms");
     }
     return process.exitValue();
   }
 
-  /** Ends it and waits until it has ended. */
+  /** Kills the process and waits for it to end, 10 s at most. */
   @Override
   public void close() {
     kill();
     try {
-      process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+      process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ProcessLauncher.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ProcessLauncher.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 
 /**
- * Starts Java processes from this process's own class path and ends them all when it is closed.
+ * Starts Java processes with the class path of this process and kills them when it is closed.
  *
  * <pre>{@code
  * try (ProcessLauncher launcher = ProcessLauncher.create()) {
@@ -19,12 +19,15 @@
  * }
  * }</pre>
  *
- * <p>Should this process be ended without a close, a shutdown hook ends the others. Safe for use by
+ * <p>A shutdown hook kills the processes if this process exits without a close. Safe for use by
  * several threads.
  */
 public final class ProcessLauncher implements AutoCloseable {
 
-  /** Those of the daemon's own launcher, and a bound: many processes run on one machine. */
+  /**
+   * The flags of the daemon's own start script, plus a heap limit because many processes share one
+   * machine.
+   */
   private static final List<String> JVM_FLAGS =
       List.of(
           "-XX:-UsePerfData",
@@ -38,7 +41,7 @@
 
   private final Path logs;
   private final List<LaunchedProcess> processes = new ArrayList<>();
-  private final Thread hook = new Thread(this::endAllAndClean, "end launched processes");
+  private final Thread hook = new Thread(this::killAllAndDeleteLogs, "end launched processes");
   private boolean closed;
 
   private ProcessLauncher(Path logs) {
@@ -49,16 +52,16 @@
   /**
    * Returns a launcher whose processes log into a temporary directory, deleted on close.
    *
-   * @throws IOException if the directory cannot be made
+   * @throws IOException if the directory cannot be created
    */
   public static ProcessLauncher create() throws IOException {
     return new ProcessLauncher(Files.createTempDirectory("sequoiapass-testbed"));
   }
 
   /**
-   * Starts a process and returns at once.
+   * Starts a process and returns without waiting for it to become ready.
    *
-   * @param name its name, also of its log
+   * @param name name of the process and of its log file
    * @param mainClass the class to run
    * @param arguments the arguments of its main method
    * @throws IOException if it cannot be started
@@ -69,10 +72,10 @@
   }
 
   /**
-   * Starts a process with further flags of the virtual machine and returns at once.
+   * Starts a process with additional JVM flags and returns without waiting for it.
    *
-   * @param name its name, also of its log
-   * @param jvmFlags flags after the ordinary ones, which they override
+   * @param name name of the process and of its log file
+   * @param jvmFlags JVM flags that follow and override the default ones
    * @param mainClass the class to run
    * @param arguments the arguments of its main method
    * @throws IOException if it cannot be started
@@ -84,11 +87,11 @@
   }
 
   /**
-   * Starts a process with further environment variables and returns at once.
+   * Starts a process with additional environment variables and returns without waiting for it.
    *
-   * @param name its name, also of its log
-   * @param jvmFlags flags after the ordinary ones, which they override
-   * @param environment variables besides those of this process
+   * @param name name of the process and of its log file
+   * @param jvmFlags JVM flags that follow and override the default ones
+   * @param environment variables in addition to those of this process
    * @param mainClass the class to run
    * @param arguments the arguments of its main method
    * @throws IOException if it cannot be started
@@ -121,29 +124,29 @@
     return process;
   }
 
-  /** Returns where the processes log. */
+  /** Returns the directory of the log files. */
   public Path logs() {
     return logs;
   }
 
-  private synchronized void endAll() {
+  private synchronized void killAll() {
     closed = true;
     processes.forEach(LaunchedProcess::kill);
     processes.forEach(LaunchedProcess::close);
   }
 
-  private void endAllAndClean() {
-    endAll();
+  private void killAllAndDeleteLogs() {
+    killAll();
     deleteLogs();
   }
 
   @Override
   public void close() {
-    endAll();
+    killAll();
     try {
       Runtime.getRuntime().removeShutdownHook(hook);
     } catch (IllegalStateException shuttingDown) {
-      // The hook runs already, and cleans up as well.
+      // The shutdown hook is running and deletes the logs.
       return;
     }
     deleteLogs();
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ProcessStats.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ProcessStats.java
@@ -6,27 +6,28 @@
 import java.util.List;
 
 /**
- * Tells what a process has used so far, as the kernel counts it.
+ * Resource usage of a process as reported by {@code /proc}.
  *
  * @param cpuMillis processor time in user and system mode, in milliseconds
- * @param residentKb memory in RAM now, in KB
- * @param peakResidentKb the most it had in RAM, in KB
- * @param threads its threads
+ * @param residentKb resident set size in KB
+ * @param peakResidentKb peak resident set size in KB
+ * @param threads number of threads
  */
 public record ProcessStats(long cpuMillis, long residentKb, long peakResidentKb, int threads) {
 
-  /** Length of a tick in /proc; fixed at 100 a second for all user space on Linux. */
+  /** Length of a clock tick in /proc; Linux reports 100 ticks a second to all of user space. */
   private static final int MILLIS_PER_TICK = 10;
 
-  private static final int USER_TICKS = 11;
-  private static final int SYSTEM_TICKS = 12;
+  private static final int USER_TICKS_FIELD = 11;
+  private static final int SYSTEM_TICKS_FIELD = 12;
 
   static ProcessStats of(long pid) throws IOException {
     Path directory = Path.of("/proc", Long.toString(pid));
     String stat = Files.readString(directory.resolve("stat"));
-    // The command's name in parentheses may hold spaces, so fields are counted from behind it.
+    // The command name in parentheses may contain spaces, so fields are counted after it.
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", -1);
-    long ticks = Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS]);
+    long ticks =
+        Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[SYSTEM_TICKS_FIELD]);
     List<String> status = Files.readAllLines(directory.resolve("status"));
     return new ProcessStats(
         ticks * MILLIS_PER_TICK,
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ProxyPlan.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ProxyPlan.java
@@ -1,12 +1,12 @@
 package io.sequoiapass.testbed.launch;
 
-/** Tells between which processes of a cluster fault proxies stand. */
+/** Which connections of a cluster go through fault proxies. */
 enum ProxyPlan {
-  /** Nowhere. */
+  /** No connection. */
   NONE(false, false),
-  /** Between each daemon and the platform only; for clusters of many daemons. */
+  /** Connections to the platform only; for clusters of many daemons. */
   PLATFORM(true, false),
-  /** Between each daemon and the platform, its peers and the endpoints. */
+  /** Connections to the platform, to peers and to endpoints. */
   ALL(true, true);
 
   private final boolean platform;
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/package-info.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/package-info.java
@@ -1,2 +1,2 @@
-/** Starts, signals and ends processes; nothing else of the project does. */
+/** Starts, signals and kills the processes of a test cluster; no other package does. */
 package io.sequoiapass.testbed.launch;
--- a/testbed/src/test/java/io/sequoiapass/testbed/launch/ClusterTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/launch/ClusterTest.java
@@ -17,7 +17,7 @@
   private static final long LIMIT_MS = 30_000;
 
   @Test
-  void answersThroughProxiesAndLeavesNoProcessBehind() throws Exception {
+  void answersThroughProxiesAndStopsAllProcesses() throws Exception {
     LaunchedProcess daemon;
     LaunchedProcess engine;
     try (Cluster cluster =
@@ -31,8 +31,8 @@
       try (LoadTool tool =
           LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())) {
         tool.start(plan.requests());
-        LoadReport told = tool.await(LIMIT_MS);
-        report = ConsistencyChecker.of(cluster).apply(told);
+        LoadReport unchecked = tool.await(LIMIT_MS);
+        report = ConsistencyChecker.of(cluster).apply(unchecked);
       }
 
       assertThat(report.reasons(5)).isEmpty();
@@ -42,7 +42,7 @@
     assertThat(engine.alive()).isFalse();
   }
 
-  // A paused engine neither answers nor closes: calls to it wait, and go through once it runs on.
+  // A paused engine neither answers nor closes connections; calls wait and succeed after a resume.
   @Test
   void pausesAndResumesAProcess() throws Exception {
     try (Cluster cluster = Cluster.builder().daemons(0).engines(1).adapters(0).start()) {
