--- a/testbed/src/main/java/io/sequoiapass/testbed/proxy/Direction.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/proxy/Direction.java
@@ -1,9 +1,9 @@
 package io.sequoiapass.testbed.proxy;
 
-/** Names which way bytes go through the proxy. */
+/** Direction of traffic through the proxy. */
 public enum Direction {
-  /** From whoever connected to the target. */
+  /** From the client to the target. */
   TO_TARGET,
-  /** From the target back. */
+  /** From the target to the client. */
   FROM_TARGET
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/proxy/FaultProxy.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/proxy/FaultProxy.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Forwards TCP connections to a target and breaks them on demand.
+ * TCP proxy that forwards connections to a target and injects network faults.
  *
  * <pre>{@code
  * try (FaultProxy proxy = FaultProxy.start(0, engine.address())) {
@@ -31,8 +31,8 @@
  * }
  * }</pre>
  *
- * <p>A fault holds for the connections open now and for those to come. Safe for use by several
- * threads; all connections share one event loop.
+ * <p>A fault applies to open connections and to new ones. Safe for use by several threads; all
+ * connections share one event loop.
  */
 public final class FaultProxy implements AutoCloseable {
 
@@ -54,9 +54,9 @@
   /**
    * Starts a proxy on the loopback interface.
    *
-   * @param port where to listen; 0 takes any free port
-   * @param target where to forward to
-   * @throws IOException if the port cannot be had
+   * @param port port to listen on; 0 for any free port
+   * @param target address to forward to
+   * @throws IOException if the port cannot be bound
    */
   public static FaultProxy start(int port, InetSocketAddress target) throws IOException {
     FaultProxy proxy = new FaultProxy(target);
@@ -95,9 +95,9 @@
   }
 
   /**
-   * Sets what the proxy does from now on; returns once it holds.
+   * Replaces the current fault; returns once it is in effect.
    *
-   * @param next the fault, {@link ProxyFault#none} to end the one before
+   * @param next the fault, or {@link ProxyFault#none} to clear the current one
    */
   public void set(ProxyFault next) {
     Objects.requireNonNull(next, "next");
@@ -109,12 +109,12 @@
         .awaitUninterruptibly();
   }
 
-  private void accept(SocketChannel caller) {
+  private void accept(SocketChannel client) {
     if (fault.mode() == ProxyMode.CUT) {
-      caller.close();
+      client.close();
       return;
     }
-    ProxyLink link = new ProxyLink(caller, fault);
+    ProxyLink link = new ProxyLink(client, fault);
     links.add(link);
     link.onClose(() -> links.remove(link));
     new Bootstrap()
--- a/testbed/src/main/java/io/sequoiapass/testbed/proxy/ProxyControl.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/proxy/ProxyControl.java
@@ -13,12 +13,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Switches a proxy's fault over HTTP.
+ * HTTP control interface of a fault proxy.
  *
  * <p>{@code POST /faults} takes {@code {"mode":"delay","delay_ms":20}}, {@code
  * {"mode":"drop_after","direction":"TO_TARGET","bytes":100}}, {@code
  * {"mode":"one_way_cut","direction":"FROM_TARGET"}}, {@code {"mode":"cut"}}, {@code
- * {"mode":"freeze"}}, and {@code {}} to end the fault.
+ * {"mode":"freeze"}}, and {@code {}} to clear the fault.
  *
  * <p>Safe for use by several threads.
  */
@@ -37,9 +37,9 @@
   /**
    * Starts the control port of a proxy.
    *
-   * @param proxy the proxy to switch; closed together with its control port
-   * @param port where to listen; 0 takes any free port
-   * @throws IOException if the port cannot be had
+   * @param proxy the proxy to control; closed together with its control port
+   * @param port port to listen on; 0 for any free port
+   * @throws IOException if the port cannot be bound
    */
   public static ProxyControl start(FaultProxy proxy, int port) throws IOException {
     var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/testbed/src/main/java/io/sequoiapass/testbed/proxy/ProxyFault.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/proxy/ProxyFault.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * Tells what the proxy does to the bytes that pass.
+ * Fault that a proxy applies to the traffic through it.
  *
  * <pre>{@code
  * proxy.set(ProxyFault.cut());
@@ -33,45 +33,45 @@
     this.direction = direction;
   }
 
-  /** Lets everything pass; bytes held back by a freeze go on their way. */
+  /** Forwards all traffic, including bytes that an earlier freeze held back. */
   public static ProxyFault none() {
     return new ProxyFault(ProxyMode.NONE, 0, 0, null);
   }
 
-  /** Closes all connections and closes each new one at once. */
+  /** Closes all connections, and each new one when it is accepted. */
   public static ProxyFault cut() {
     return new ProxyFault(ProxyMode.CUT, 0, 0, null);
   }
 
   /**
-   * Holds each part back for a time, both ways.
+   * Delays each chunk of bytes in both directions.
    *
-   * @param millis how long
+   * @param millis delay in milliseconds
    */
   public static ProxyFault delay(int millis) {
     return new ProxyFault(ProxyMode.DELAY, millis, 0, null);
   }
 
-  /** Holds back all bytes both ways and closes nothing, so that neither side learns of it. */
+  /** Holds back all bytes in both directions and closes nothing, so neither side detects it. */
   public static ProxyFault freeze() {
     return new ProxyFault(ProxyMode.FREEZE, 0, 0, null);
   }
 
   /**
-   * Closes a connection once a number of bytes more went one way over it.
+   * Closes a connection after it has forwarded a number of bytes in one direction.
    *
-   * @param direction which way is counted
-   * @param bytes how many still pass
+   * @param direction the direction to count
+   * @param bytes number of bytes to forward before the close
    */
   public static ProxyFault dropAfter(Direction direction, long bytes) {
     return new ProxyFault(ProxyMode.DROP_AFTER, 0, bytes, Objects.requireNonNull(direction));
   }
 
   /**
-   * Holds back all bytes one way and closes nothing; the other way stays whole. Bytes are not lost,
-   * since TCP sends again what a partition swallowed.
+   * Holds back all bytes in one direction and closes nothing; the other direction is unaffected.
+   * Bytes are not lost, since TCP retransmits what a partition drops.
    *
-   * @param direction which way is cut
+   * @param direction the direction to cut
    */
   public static ProxyFault oneWayCut(Direction direction) {
     return new ProxyFault(ProxyMode.ONE_WAY_CUT, 0, 0, Objects.requireNonNull(direction));
@@ -89,14 +89,14 @@
     return bytes;
   }
 
-  /** Returns whether bytes of this way are held back. */
-  boolean holds(Direction way) {
-    return mode == ProxyMode.FREEZE || (mode == ProxyMode.ONE_WAY_CUT && direction == way);
+  /** Returns whether bytes in this direction are held back. */
+  boolean holdsBack(Direction queried) {
+    return mode == ProxyMode.FREEZE || (mode == ProxyMode.ONE_WAY_CUT && direction == queried);
   }
 
-  /** Returns whether bytes of this way are counted until the connection is closed. */
-  boolean drops(Direction way) {
-    return mode == ProxyMode.DROP_AFTER && direction == way;
+  /** Returns whether bytes in this direction count towards closing the connection. */
+  boolean dropsAfterLimit(Direction queried) {
+    return mode == ProxyMode.DROP_AFTER && direction == queried;
   }
 
   @Override
--- a/testbed/src/main/java/io/sequoiapass/testbed/proxy/ProxyLink.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/proxy/ProxyLink.java
@@ -2,10 +2,10 @@
 
 import io.netty.channel.Channel;
 
-/** Joins one caller's connection to its connection to the target; used on one event loop. */
+/** Pairs a client connection with its connection to the target; confined to one event loop. */
 final class ProxyLink {
 
-  private final Channel caller;
+  private final Channel client;
   private Channel target;
   private ProxyFault fault;
   private ProxyPipe toTarget;
@@ -13,14 +13,14 @@
   private Runnable onClose = () -> {};
   private boolean closed;
 
-  ProxyLink(Channel caller, ProxyFault fault) {
-    this.caller = caller;
+  ProxyLink(Channel client, ProxyFault fault) {
+    this.client = client;
     this.fault = fault;
   }
 
   void onClose(Runnable action) {
     onClose = action;
-    caller.closeFuture().addListener(done -> close());
+    client.closeFuture().addListener(done -> close());
   }
 
   void targetOpened(Channel opened) {
@@ -30,10 +30,10 @@
     }
     target = opened;
     toTarget = new ProxyPipe(Direction.TO_TARGET, target, fault, this::close);
-    fromTarget = new ProxyPipe(Direction.FROM_TARGET, caller, fault, this::close);
-    toTarget.back(fromTarget);
-    fromTarget.back(toTarget);
-    caller.pipeline().addLast(toTarget);
+    fromTarget = new ProxyPipe(Direction.FROM_TARGET, client, fault, this::close);
+    toTarget.reverse(fromTarget);
+    fromTarget.reverse(toTarget);
+    client.pipeline().addLast(toTarget);
     target.pipeline().addLast(fromTarget);
   }
 
@@ -41,7 +41,7 @@
     if (closed) {
       return;
     }
-    caller.config().setAutoRead(true);
+    client.config().setAutoRead(true);
     target.config().setAutoRead(true);
   }
 
@@ -62,7 +62,7 @@
       return;
     }
     closed = true;
-    caller.close();
+    client.close();
     if (target != null) {
       target.close();
       toTarget.release();
--- a/testbed/src/main/java/io/sequoiapass/testbed/proxy/ProxyMode.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/proxy/ProxyMode.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.annotations.SerializedName;
 
-/** Names the proxy's faults as its control port takes them. */
+/** Fault modes with their names on the control port. */
 enum ProxyMode {
   @SerializedName("none")
   NONE,
--- a/testbed/src/main/java/io/sequoiapass/testbed/proxy/ProxyPipe.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/proxy/ProxyPipe.java
@@ -11,28 +11,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Forwards one way of one connection, or holds it back; used on one event loop.
+ * Forwards or holds back the bytes of one direction of a connection; confined to one event loop.
  *
- * <p>All parts go through one queue, so that no change of the fault reorders bytes. A side that
- * closes is told to the other side only after the bytes before it, and while the way is held not at
- * all: in a partition the other side does not hear of it either.
+ * <p>All chunks pass through one queue, so a change of the fault never reorders bytes. A close is
+ * propagated only after the bytes before it, and not at all while the direction is held back: in a
+ * real partition the other side would not receive it either.
  */
 final class ProxyPipe extends ChannelInboundHandlerAdapter {
 
-  /** Bytes held back at most; beyond it the sender is held by TCP. */
-  private static final int MAX_HELD_BYTES = 1 << 20;
+  /** Limit of buffered bytes; above it TCP flow control blocks the sender. */
+  private static final int MAX_QUEUED_BYTES = 1 << 20;
 
   private final Direction direction;
   private final Channel to;
   private final Runnable closeLink;
-  private final Deque<Part> held = new ArrayDeque<>();
+  private final Deque<Chunk> queue = new ArrayDeque<>();
   private ProxyFault fault;
-  private ProxyPipe back;
+  private ProxyPipe reverse;
   private ChannelHandlerContext from;
-  private long heldBytes;
-  private long passedUnderFault;
+  private long queuedBytes;
+  private long forwardedUnderFault;
   private long lastDue;
-  private boolean ended;
+  private boolean inputClosed;
 
   ProxyPipe(Direction direction, Channel to, ProxyFault fault, Runnable closeLink) {
     this.direction = direction;
@@ -42,9 +42,9 @@
     this.lastDue = System.nanoTime();
   }
 
-  /** Sets the pipe that goes the other way over the same connections. */
-  void back(ProxyPipe other) {
-    back = other;
+  /** Sets the pipe of the opposite direction. */
+  void reverse(ProxyPipe other) {
+    reverse = other;
   }
 
   @Override
@@ -54,65 +54,65 @@
 
   void apply(ProxyFault next) {
     fault = next;
-    passedUnderFault = 0;
+    forwardedUnderFault = 0;
     drain();
   }
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
     ByteBuf bytes = (ByteBuf) message;
-    heldBytes += bytes.readableBytes();
+    queuedBytes += bytes.readableBytes();
     long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(fault.delayMs());
     lastDue = Math.max(lastDue, due);
-    held.add(new Part(bytes, lastDue));
+    queue.add(new Chunk(bytes, lastDue));
     drain();
   }
 
   private void drain() {
     long now = System.nanoTime();
-    while (!held.isEmpty() && !fault.holds(direction) && held.peek().due <= now) {
-      Part part = held.poll();
-      heldBytes -= part.bytes.readableBytes();
-      forward(part.bytes);
+    while (!queue.isEmpty() && !fault.holdsBack(direction) && queue.peek().due <= now) {
+      Chunk chunk = queue.poll();
+      queuedBytes -= chunk.bytes.readableBytes();
+      forward(chunk.bytes);
     }
-    if (!held.isEmpty() && !fault.holds(direction)) {
-      to.eventLoop().schedule(this::drain, held.peek().due - now, TimeUnit.NANOSECONDS);
+    if (!queue.isEmpty() && !fault.holdsBack(direction)) {
+      to.eventLoop().schedule(this::drain, queue.peek().due - now, TimeUnit.NANOSECONDS);
     }
-    if (ended && held.isEmpty() && !fault.holds(direction)) {
+    if (inputClosed && queue.isEmpty() && !fault.holdsBack(direction)) {
       to.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> closeLink.run());
     }
-    readIfRoom();
+    updateAutoRead();
   }
 
   private void forward(ByteBuf bytes) {
-    if (!fault.drops(direction)) {
+    if (!fault.dropsAfterLimit(direction)) {
       to.writeAndFlush(bytes).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
       return;
     }
-    long left = fault.bytes() - passedUnderFault;
-    if (bytes.readableBytes() < left) {
-      passedUnderFault += bytes.readableBytes();
+    long remaining = fault.bytes() - forwardedUnderFault;
+    if (bytes.readableBytes() < remaining) {
+      forwardedUnderFault += bytes.readableBytes();
       to.writeAndFlush(bytes).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
       return;
     }
-    passedUnderFault = fault.bytes();
-    ByteBuf last = bytes.readRetainedSlice((int) left);
+    forwardedUnderFault = fault.bytes();
+    ByteBuf last = bytes.readRetainedSlice((int) remaining);
     bytes.release();
     to.writeAndFlush(last).addListener(done -> closeLink.run());
   }
 
-  private void readIfRoom() {
-    from.channel().config().setAutoRead(to.isWritable() && heldBytes < MAX_HELD_BYTES);
+  private void updateAutoRead() {
+    from.channel().config().setAutoRead(to.isWritable() && queuedBytes < MAX_QUEUED_BYTES);
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
-    back.readIfRoom();
+    reverse.updateAutoRead();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    ended = true;
+    inputClosed = true;
     drain();
   }
 
@@ -122,9 +122,9 @@
   }
 
   void release() {
-    held.forEach(part -> part.bytes.release());
-    held.clear();
+    queue.forEach(chunk -> chunk.bytes.release());
+    queue.clear();
   }
 
-  private record Part(ByteBuf bytes, long due) {}
+  private record Chunk(ByteBuf bytes, long due) {}
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/proxy/package-info.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/proxy/package-info.java
@@ -1,2 +1,2 @@
-/** A TCP proxy that breaks connections on demand. */
+/** TCP proxy that injects network faults. */
 package io.sequoiapass.testbed.proxy;
--- a/testbed/src/test/java/io/sequoiapass/testbed/proxy/FaultProxyTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/proxy/FaultProxyTest.java
@@ -38,20 +38,20 @@
   }
 
   private int runs() throws Exception {
-    JsonObject judge = direct.json("/judge");
-    return judge.get("runs").getAsInt();
+    JsonObject audit = direct.json("/judge");
+    return audit.get("runs").getAsInt();
   }
 
-  /** Waits until the service ran this often, or gives up after a bounded number of looks. */
+  /** Polls until the service has run this many times; fails after 2,000 polls. */
   private void awaitRuns(int count) throws Exception {
-    for (int look = 0; look < 2_000 && runs() < count; look++) {
+    for (int poll = 0; poll < 2_000 && runs() < count; poll++) {
       Thread.onSpinWait();
     }
     assertThat(runs()).isEqualTo(count);
   }
 
   @Test
-  void forwardsWhatIsLargerThanOneRead() throws Exception {
+  void forwardsBodyLargerThanOneRead() throws Exception {
     String path = "/" + "x".repeat(3_000);
     String body = "y".repeat(500_000);
 
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void refusesWhileCut() throws Exception {
+  void closesConnectionsWhileCut() throws Exception {
     proxy.set(ProxyFault.cut());
     assertThatThrownBy(() -> through.call("POST", "/a", "")).isInstanceOf(IOException.class);
     assertThat(runs()).isZero();
@@ -68,11 +68,11 @@
     assertThat(through.call("POST", "/a", "").statusCode()).isEqualTo(200);
   }
 
-  // The request reaches the service and runs; its answer does not come back while the way from the
-  // target is cut. A caller that gives up here must not say "not run". After the heal the answer
-  // arrives, as TCP would send it again.
+  // The request runs, but its answer does not arrive while the direction from the target is cut, so
+  // a caller that times out must not report "not run". After the partition heals the answer
+  // arrives, as it would after a TCP retransmission.
   @Test
-  void cutsOnlyTheWayBack() throws Exception {
+  void cutsOnlyDirectionFromTarget() throws Exception {
     proxy.set(ProxyFault.oneWayCut(Direction.FROM_TARGET));
     CompletableFuture<HttpResponse<String>> answer = through.start("POST", "/a", "");
     awaitRuns(1);
@@ -83,11 +83,11 @@
   }
 
   @Test
-  void cutsOnlyTheWayThere() throws Exception {
+  void cutsOnlyDirectionToTarget() throws Exception {
     through.call("POST", "/a", "");
     proxy.set(ProxyFault.oneWayCut(Direction.TO_TARGET));
     CompletableFuture<HttpResponse<String>> answer = through.start("POST", "/a", "");
-    // A call beside the proxy goes there and back, so the held one had time to arrive as well.
+    // A round trip that bypasses the proxy gives the held request time to arrive.
     direct.call("POST", "/b", "");
     assertThat(runs()).isEqualTo(2);
 
@@ -96,16 +96,16 @@
     assertThat(runs()).isEqualTo(3);
   }
 
-  // The connection breaks off within the answer's head, after the service ran: the answer is lost.
+  // The connection closes within the answer's headers after the service ran, so the answer is lost.
   @Test
-  void dropsAfterSomeBytesOfTheAnswer() throws Exception {
+  void closesAfterNumberOfAnswerBytes() throws Exception {
     proxy.set(ProxyFault.dropAfter(Direction.FROM_TARGET, 10));
     assertThatThrownBy(() -> through.call("POST", "/a", "")).isInstanceOf(IOException.class);
     assertThat(runs()).isPositive();
   }
 
   @Test
-  void takesItsFaultOverHttp() throws Exception {
+  void setsFaultOverHttp() throws Exception {
     try (ProxyControl control = ProxyControl.start(FaultProxy.start(0, service.address()), 0)) {
       HttpProbe switches = new HttpProbe(Addresses.loopback(control.port()));
       assertThat(switches.call("POST", "/faults", "{\"mode\":\"freeze\"}").statusCode())
