--- a/testbed/src/main/java/io/sequoiapass/testbed/wire/BlockingHttp.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/wire/BlockingHttp.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Sends HTTP calls and waits for their answers, for what the testbed does step by step.
+ * Blocking HTTP client for the sequential calls of the testbed.
  *
  * <p>Safe for use by several threads.
  */
@@ -27,8 +27,8 @@
   /**
    * Sends a call and returns its answer, whatever its status.
    *
-   * @param call what to send
-   * @throws IOException if there is no whole answer in time
+   * @param call the call
+   * @throws IOException if no complete answer arrives in time
    * @throws InterruptedException if the wait is interrupted
    */
   public HttpAnswer send(HttpCall call) throws IOException, InterruptedException {
@@ -40,11 +40,11 @@
   }
 
   /**
-   * Sends a call and returns its answer's body as an object.
+   * Sends a call and parses the JSON body of its answer.
    *
-   * @param call what to send
+   * @param call the call
    * @param type the object's type
-   * @throws IOException if there is no whole answer of success in time
+   * @throws IOException if no complete answer with a success status arrives in time
    * @throws InterruptedException if the wait is interrupted
    */
   public <T> T read(HttpCall call, Class<T> type) throws IOException, InterruptedException {
--- a/testbed/src/main/java/io/sequoiapass/testbed/wire/Json.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/wire/Json.java
@@ -4,7 +4,7 @@
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
 
-/** Holds the JSON mapping of the wire: lower case, words joined by an underscore. */
+/** JSON mapping of the wire format; field names are in lower case with underscores. */
 public final class Json {
 
   /** The mapping; safe for use by several threads. */
--- a/testbed/src/main/java/io/sequoiapass/testbed/wire/ObjectValues.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/wire/ObjectValues.java
@@ -2,29 +2,29 @@
 
 import java.util.List;
 
-/** Holds the values of the platform's objects that the testbed writes. */
+/** Values of the platform objects that the testbed writes. */
 public final class ObjectValues {
 
   private ObjectValues() {}
 
   /**
-   * Holds an adapter.
+   * An adapter.
    *
    * @param model its base model
-   * @param current the version in force
-   * @param versions the versions that may be named
+   * @param current the current version
+   * @param versions the versions that requests may name
    */
   public record Adapter(String model, String current, List<String> versions) {}
 
   /**
-   * Holds a service.
+   * A service.
    *
    * @param model the model it uses, or null
    * @param adapters the adapters it may use, "*" for all
    * @param endpoints the endpoints of a plain service, or null
-   * @param repeatable whether its calls may run twice
-   * @param priority its calls' priority
-   * @param maxInFlight its calls at one time
+   * @param repeatable whether its calls may run more than once
+   * @param priority priority of its calls
+   * @param maxInFlight maximum number of calls in flight
    */
   public record Service(
       String model,
@@ -35,17 +35,17 @@
       int maxInFlight) {}
 
   /**
-   * Holds an endpoint.
+   * An endpoint.
    *
    * @param address host:port
-   * @param dataCentre where it stands
+   * @param dataCentre its data centre
    * @param host the host it runs on
    * @param type ENGINE or SERVICE
    * @param model an engine's base model, or null
-   * @param service the service that an endpoint serves, or null
-   * @param slots an engine's adapter slots
-   * @param maxStreams streams or calls at one time
-   * @param checksFence whether it refuses orders with an old fencing number
+   * @param service the plain service that it serves, or null
+   * @param slots an engine's adapter slots, or null
+   * @param maxStreams maximum concurrent streams or calls
+   * @param checksFence whether it rejects orders with an outdated fencing number
    * @param state ACTIVE or LEAVING
    */
   public record Endpoint(
@@ -61,25 +61,25 @@
       String state) {}
 
   /**
-   * Holds the preset in force.
+   * The preset in force.
    *
    * @param preset ORDINARY, PEAK or MAINTENANCE
-   * @param effectiveAt when it comes into force, by the wall clock
+   * @param effectiveAt wall-clock time at which it takes effect, in milliseconds
    */
   public record Preset(String preset, long effectiveAt) {}
 
   /**
-   * Holds the platform's host list.
+   * The platform's host list.
    *
    * @param hosts the hosts
    */
   public record Hosts(List<Host> hosts) {}
 
   /**
-   * Holds one host of the list.
+   * One host of the list.
    *
    * @param host its name
-   * @param dataCentre where it stands
+   * @param dataCentre its data centre
    * @param state LIVE or LEAVING
    * @param endpoints the endpoints on it
    */
--- a/testbed/src/main/java/io/sequoiapass/testbed/wire/PlatformObjects.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/wire/PlatformObjects.java
@@ -8,25 +8,25 @@
 import java.util.Objects;
 
 /**
- * Reads and writes the platform's objects as an operator's tool does; waits where the platform
- * refuses for its rate.
+ * Client for the platform's objects, as an operator's tool uses it; retries writes that exceed the
+ * platform's rate limit.
  *
  * <p>Safe for use by several threads.
  */
 public final class PlatformObjects {
 
-  private static final int MAX_TRIES = 100;
-  private static final int TOO_MANY = 429;
-  private static final long PAUSE_MS = 100;
+  private static final int MAX_ATTEMPTS = 100;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final long RETRY_INTERVAL_MS = 100;
 
   private final BlockingHttp http;
   private final InetSocketAddress platform;
 
   /**
-   * Makes a client.
+   * Creates a client.
    *
-   * @param http what sends the calls
-   * @param platform where the platform listens
+   * @param http the HTTP client
+   * @param platform address of the platform
    */
   public PlatformObjects(BlockingHttp http, InetSocketAddress platform) {
     this.http = Objects.requireNonNull(http, "http");
@@ -34,12 +34,12 @@
   }
 
   /**
-   * Writes an object, whatever stood there.
+   * Writes an object, replacing any existing value.
    *
    * @param kind the object's kind
    * @param name its name
    * @param value its value
-   * @throws IOException if the platform does not take it
+   * @throws IOException if the platform rejects the write
    * @throws InterruptedException if the wait is interrupted
    */
   public void put(String kind, String name, Object value) throws IOException, InterruptedException {
@@ -48,8 +48,10 @@
             .header("Operation-Id", "testbed-" + kind + "-" + name)
             .body(Json.GSON.toJson(value));
     HttpAnswer answer = http.send(call);
-    for (int tries = 1; answer.status() == TOO_MANY && tries < MAX_TRIES; tries++) {
-      Thread.sleep(PAUSE_MS);
+    for (int attempts = 1;
+        answer.status() == TOO_MANY_REQUESTS && attempts < MAX_ATTEMPTS;
+        attempts++) {
+      Thread.sleep(RETRY_INTERVAL_MS);
       answer = http.send(call);
     }
     if (!answer.ok()) {
@@ -58,10 +60,10 @@
   }
 
   /**
-   * Sets the platform's host list, which others see after its lag.
+   * Sets the platform's host list; it becomes visible after the configured lag.
    *
    * @param hosts the hosts
-   * @throws IOException if the platform does not take it
+   * @throws IOException if the platform rejects the write
    * @throws InterruptedException if the wait is interrupted
    */
   public void putHosts(ObjectValues.Hosts hosts) throws IOException, InterruptedException {
@@ -74,7 +76,7 @@
    *
    * @param kind the object's kind
    * @param name its name
-   * @throws IOException if there is none
+   * @throws IOException if the object does not exist or cannot be read
    * @throws InterruptedException if the wait is interrupted
    */
   public JsonObject value(String kind, String name) throws IOException, InterruptedException {
--- a/testbed/src/main/java/io/sequoiapass/testbed/wire/TokenText.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/wire/TokenText.java
@@ -1,10 +1,10 @@
 package io.sequoiapass.testbed.wire;
 
 /**
- * Gives the text of each token of the engine stand-in.
+ * Text of the tokens that the engine stand-in produces.
  *
- * <p>The text tells adapter, version, request and index, so that a reader sees by the text alone
- * when a token belongs to another adapter or another request.
+ * <p>The text contains adapter, version, request and index, so a token of a wrong adapter or
+ * request is recognisable by its text alone.
  */
 public final class TokenText {
 
@@ -13,10 +13,10 @@
   /**
    * Returns the text of one token.
    *
-   * @param adapter the adapter that made it
+   * @param adapter the adapter that produced it
    * @param version the adapter's version
-   * @param requestId the request it was made for
-   * @param index the token's place in the answer, from 0
+   * @param requestId the request it belongs to
+   * @param index the token's index in the answer, from 0
    */
   public static String of(String adapter, String version, String requestId, int index) {
     return adapter + "@" + version + "/" + requestId + "#" + index + " ";
--- a/testbed/src/main/java/io/sequoiapass/testbed/wire/package-info.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/wire/package-info.java
@@ -1,2 +1,2 @@
-/** What the testbed's parts say to each other and to the daemons, as written on the wire. */
+/** Wire format and blocking HTTP client of the testbed. */
 package io.sequoiapass.testbed.wire;
