--- a/testbed/src/main/java/io/sequoiapass/testbed/CapacityCommand.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/CapacityCommand.java
@@ -2,7 +2,7 @@
 
 import io.sequoiapass.testbed.capacity.CapacityRun;
 
-/** Measures how state, time and bytes grow with the size of the fleet. */
+/** Measures how state, time and network traffic grow with the size of the fleet. */
 final class CapacityCommand implements Command {
 
   @Override
--- a/testbed/src/main/java/io/sequoiapass/testbed/Command.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/Command.java
@@ -6,7 +6,7 @@
 /** One command of the testbed. */
 interface Command {
 
-  /** Returns a line for each flag. */
+  /** Returns the help text, one line for each flag. */
   String help();
 
   /** Runs the command and returns its exit code. */
--- a/testbed/src/main/java/io/sequoiapass/testbed/DemoCommand.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/DemoCommand.java
@@ -17,29 +17,32 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Starts daemons and stand-ins in two data centres, sends a skewed load and tells how it went.
+ * Starts daemons and stand-ins in two data centres, sends a skewed load and prints a report.
  *
- * <p>Exits 0 only if no answer was wrong, no serving adapter was evicted and every request got a
- * final answer.
+ * <p>The exit code is 0 only if no answer was wrong, no adapter was evicted while serving and every
+ * request got a final answer.
  */
 final class DemoCommand implements Command {
 
-  private static final long READY_LIMIT_MS = 20_000;
-  private static final long ANSWERS_LIMIT_MS = 60_000;
-  private static final long SECOND_MS = 1_000;
-  private static final int REASONS = 5;
+  private static final long READY_TIMEOUT_MS = 20_000;
+  private static final long ANSWERS_TIMEOUT_MS = 60_000;
+  private static final long PROGRESS_INTERVAL_MS = 1_000;
+  private static final int MAX_REASONS = 5;
   private static final double PLAIN_SHARE = 0.1;
-  private static final double ONCE_SHARE = 0.05;
-  private static final double FORMER_SHARE = 0.02;
+  private static final double NON_REPEATABLE_SHARE = 0.05;
+  private static final double PREVIOUS_VERSION_SHARE = 0.02;
 
-  /** A first token from a resident copy takes some tens of milliseconds, a load 250 at least. */
+  /**
+   * A request counts as stalled above this time to first token. A resident adapter gives its first
+   * token within some tens of milliseconds; a load takes at least 250 ms.
+   */
   private static final long STALL_MICROS = 200_000;
 
   private static Flags.Definition definition() {
     return Flags.define()
-        .flag("seconds", "10", "how long requests come")
+        .flag("seconds", "10", "duration of the load in seconds")
         .flag("rate", "30", "requests a second")
-        .flag("adapters", "100", "adapters configured and asked for")
+        .flag("adapters", "100", "adapters configured and requested")
         .flag("skew", "1.8", "skew of their popularity")
         .flag("tokens", "24", "tokens of an answer on average")
         .flag("engines", "3", "engines in each of the two data centres")
@@ -62,8 +65,8 @@
             flags.decimal("skew", 0, 10),
             flags.integer("tokens", 1, 10_000),
             PLAIN_SHARE,
-            ONCE_SHARE,
-            FORMER_SHARE,
+            NON_REPEATABLE_SHARE,
+            PREVIOUS_VERSION_SHARE,
             flags.integer("seed", 0, Integer.MAX_VALUE));
     int engines = flags.integer("engines", 1, 100);
     progress("starting 4 daemons, " + 2 * engines + " engines, 2 plain services, platform, store");
@@ -75,7 +78,7 @@
             .services(1)
             .adapters(plan.adapters())
             .start()) {
-      cluster.awaitServing(READY_LIMIT_MS);
+      cluster.awaitServing(READY_TIMEOUT_MS);
       return load(cluster, plan);
     }
   }
@@ -91,7 +94,7 @@
         LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())) {
       tool.start(requests);
       for (int second = 1; second <= plan.seconds(); second++) {
-        Thread.sleep(SECOND_MS);
+        Thread.sleep(PROGRESS_INTERVAL_MS);
         LoadReport soFar = tool.report();
         progress(
             second
@@ -102,23 +105,23 @@
                 + ", whole "
                 + soFar.count(Verdict.COMPLETE));
       }
-      LoadReport told = tool.await(ANSWERS_LIMIT_MS);
+      LoadReport report = tool.await(ANSWERS_TIMEOUT_MS);
       ConsistencyChecker checker = ConsistencyChecker.of(cluster);
-      return tell(plan, checker.apply(told), checker);
+      return printReport(plan, checker.apply(report), checker);
     }
   }
 
-  private static int tell(LoadPlan plan, LoadReport report, ConsistencyChecker checker) {
+  private static int printReport(LoadPlan plan, LoadReport report, ConsistencyChecker checker) {
     long wrong = report.count(Verdict.WRONG);
     long unknown = report.count(Verdict.UNKNOWN);
-    Histogram firstTokens = report.firstTokens(DemoCommand::wholeCompletion);
-    // All engines start empty, so the first half shows above all how fast the weight store is.
+    Histogram firstTokens = report.firstTokens(DemoCommand::isCompleteAdapterAnswer);
+    // All engines start without adapters, so latency in the first half mostly reflects load time.
     long half = TimeUnit.SECONDS.toMicros(plan.seconds()) / 2;
-    Histogram warm =
+    Histogram secondHalf =
         report.firstTokens(
-            result -> wholeCompletion(result) && result.request().atMicros() >= half);
+            result -> isCompleteAdapterAnswer(result) && result.request().atMicros() >= half);
     long stalls = firstTokens.getCountBetweenValues(STALL_MICROS, Long.MAX_VALUE);
-    report.reasons(REASONS).forEach(reason -> System.out.println("  " + reason));
+    report.reasons(MAX_REASONS).forEach(reason -> System.out.println("  " + reason));
     checker.violationDetails().forEach(detail -> System.out.println("  violation: " + detail));
     row("requests", Long.toString(report.sent()));
     row("right adapter, whole answer", Long.toString(report.count(Verdict.COMPLETE)));
@@ -128,7 +131,7 @@
     row("without a final answer", Long.toString(report.unanswered()));
     row("first token p50", millis(firstTokens.getValueAtPercentile(50)));
     row("first token p95", millis(firstTokens.getValueAtPercentile(95)));
-    row("first token p95, second half", millis(warm.getValueAtPercentile(95)));
+    row("first token p95, second half", millis(secondHalf.getValueAtPercentile(95)));
     row("load stalls (over 200 ms)", stalls + " of " + firstTokens.getTotalCount());
     row("loads, evictions", checker.loads() + ", " + checker.evictions());
     row("evictions while serving", Long.toString(checker.violations()));
@@ -141,11 +144,11 @@
         wrong,
         report.count(Verdict.NOT_RUN),
         unknown + report.unanswered());
-    boolean kept = wrong == 0 && report.unanswered() == 0 && checker.violations() == 0;
-    return kept ? 0 : 1;
+    boolean passed = wrong == 0 && report.unanswered() == 0 && checker.violations() == 0;
+    return passed ? 0 : 1;
   }
 
-  private static boolean wholeCompletion(RequestResult result) {
+  private static boolean isCompleteAdapterAnswer(RequestResult result) {
     return result.verdict() == Verdict.COMPLETE && result.request().adapter().isPresent();
   }
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/MeasureCommand.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/MeasureCommand.java
@@ -29,6 +29,6 @@
         return topic.measure(Arrays.copyOfRange(arguments, 1, arguments.length));
       }
     }
-    throw new UsageException("name what to measure:\n" + help());
+    throw new UsageException("unknown or missing measurement topic; usage:\n" + help());
   }
 }
--- a/testbed/src/main/java/io/sequoiapass/testbed/PolicyCommand.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/PolicyCommand.java
@@ -2,7 +2,7 @@
 
 import io.sequoiapass.testbed.policy.PolicyBench;
 
-/** Runs the policy bench, which prints its own help. */
+/** Compares placement policies; the policy bench prints its own help. */
 final class PolicyCommand implements Command {
 
   @Override
--- a/testbed/src/main/java/io/sequoiapass/testbed/ProxyCommand.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/ProxyCommand.java
@@ -7,7 +7,7 @@
 import io.sequoiapass.testbed.proxy.ProxyControl;
 import java.io.IOException;
 
-/** Runs a fault proxy with its control port. */
+/** Runs a fault proxy and its control port until the process is stopped. */
 final class ProxyCommand implements Command {
 
   private static Flags.Definition definition() {
--- a/testbed/src/main/java/io/sequoiapass/testbed/Testbed.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/Testbed.java
@@ -11,15 +11,15 @@
 import java.util.Map;
 
 /**
- * Starts the command that the first argument names.
+ * Entry point of the testbed; runs the command named by the first argument.
  *
- * <p>Exit codes: 0 when all went well, 1 when the command's own check failed or it could not run, 2
- * for wrong flags.
+ * <p>Exit codes: 0 on success, 1 if the command's own check failed or it could not run, 2 for
+ * invalid usage.
  */
 public final class Testbed {
 
   private static final int FAILED = 1;
-  private static final int WRONG_USAGE = 2;
+  private static final int INVALID_USAGE = 2;
 
   private Testbed() {}
 
@@ -29,7 +29,7 @@
    * @param arguments the command's name and its flags
    */
   public static void main(String[] arguments) {
-    // Netty would take SLF4J, which comes along without a back end and complains on each start.
+    // Netty prefers SLF4J, which is on the class path without a back end and warns at each start.
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     System.exit(run(arguments));
   }
@@ -53,7 +53,7 @@
     Command command = arguments.length == 0 ? null : commands.get(arguments[0]);
     if (command == null) {
       System.err.println("usage: testbed " + String.join("|", commands.keySet()) + " [flags]");
-      return WRONG_USAGE;
+      return INVALID_USAGE;
     }
     String[] flags = Arrays.copyOfRange(arguments, 1, arguments.length);
     if (Arrays.asList(flags).contains("--help")) {
@@ -64,7 +64,7 @@
       return command.run(flags);
     } catch (UsageException e) {
       System.err.println(e.getMessage());
-      return WRONG_USAGE;
+      return INVALID_USAGE;
     } catch (IOException e) {
       System.err.println(e.getMessage());
       return FAILED;
--- a/testbed/src/main/java/io/sequoiapass/testbed/package-info.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins, fault proxy, load tool and demo. */
+/** Command line of the testbed: stand-ins, fault proxy, load tool, measurements and demo. */
 package io.sequoiapass.testbed;
--- a/testbed/src/test/java/io/sequoiapass/testbed/HttpProbe.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/HttpProbe.java
@@ -11,7 +11,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Calls a server as a test needs it: bounded in time and blocking. */
+/** HTTP client for tests; each call times out after 10 s. */
 public final class HttpProbe {
 
   private static final HttpClient CLIENT =
