--- a/testbed/src/main/java/io/sequoiapass/testbed/DemoCommand.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/DemoCommand.java
@@ -91,7 +91,7 @@
     List<PlannedRequest> requests = plan.requests();
     progress("sending " + requests.size() + " requests in " + plan.seconds() + " s");
     try (LoadTool tool =
-        LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())) {
+        LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList())) {
       tool.start(requests);
       for (int second = 1; second <= plan.seconds(); second++) {
         Thread.sleep(PROGRESS_INTERVAL_MS);
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/Cluster.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/Cluster.java
@@ -49,8 +49,8 @@
   private Cluster(ClusterSettings settings) throws IOException {
     this.settings = settings;
     this.launcher = ProcessLauncher.create();
-    this.platformPort = ports.take();
-    this.weightsPort = ports.take();
+    this.platformPort = ports.allocate();
+    this.weightsPort = ports.allocate();
     this.proxies = new ClusterProxies(settings.proxies());
   }
 
@@ -141,10 +141,10 @@
     addFlag(command, "id", daemon.id());
     addFlag(command, "data-centre", daemon.dataCentre());
     addFlag(command, "host", daemon.host());
-    addFlag(command, "listen-address", daemon.callers().getAddress().getHostAddress());
-    addFlag(command, "caller-port", daemon.callers().getPort());
-    addFlag(command, "operator-port", daemon.operators().getPort());
-    addFlag(command, "peer-port", daemon.peers().getPort());
+    addFlag(command, "listen-address", daemon.callerAddress().getAddress().getHostAddress());
+    addFlag(command, "caller-port", daemon.callerAddress().getPort());
+    addFlag(command, "operator-port", daemon.operatorAddress().getPort());
+    addFlag(command, "peer-port", daemon.peerAddress().getPort());
     InetSocketAddress direct = Addresses.loopback(platformPort);
     addFlag(command, "platform", Addresses.text(proxies.platformFor(daemon, direct)));
     addFlag(command, "peers", peersOf(daemon));
@@ -251,7 +251,7 @@
    * @throws IOException if the stand-in rejects them
    * @throws InterruptedException if the wait is interrupted
    */
-  public void faults(InetSocketAddress standIn, String json)
+  public void setFaults(InetSocketAddress standIn, String json)
       throws IOException, InterruptedException {
     HttpAnswer answer = http.send(HttpCall.to(standIn, "POST", "/faults").body(json));
     if (!answer.ok()) {
@@ -298,7 +298,7 @@
       while (!ready(daemon)) {
         remainingPolls--;
         if (remainingPolls < 0 || !daemon.process().alive()) {
-          throw new IOException(daemon.id() + " not ready:\n" + daemon.process().lastErrors());
+          throw new IOException(daemon.id() + " not ready:\n" + daemon.process().logTail());
         }
         Thread.sleep(POLL_INTERVAL_MS);
       }
@@ -321,11 +321,12 @@
         String body =
             "{\"model\":\"%s\",\"prompt\":\"probe\",\"max_tokens\":1}"
                 .formatted(ClusterNames.adapter(0));
-        awaitAnswer(HttpCall.to(daemon.callers(), "POST", "/v1/completions").body(body), limitMs);
+        awaitAnswer(
+            HttpCall.to(daemon.callerAddress(), "POST", "/v1/completions").body(body), limitMs);
       }
       if (settings.services() > 0) {
         String path = "/services/" + ClusterNames.SLIPS + "/probe";
-        awaitAnswer(HttpCall.to(daemon.callers(), "POST", path), limitMs);
+        awaitAnswer(HttpCall.to(daemon.callerAddress(), "POST", path), limitMs);
       }
     }
   }
@@ -345,7 +346,7 @@
 
   private boolean ready(DaemonNode daemon) throws InterruptedException {
     try {
-      return http.send(HttpCall.to(daemon.operators(), "GET", "/ready")).ok();
+      return http.send(HttpCall.to(daemon.operatorAddress(), "GET", "/ready")).ok();
     } catch (IOException notYet) {
       return false;
     }
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterConfiguration.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterConfiguration.java
@@ -71,7 +71,7 @@
     return new ObjectValues.Adapter(
         ClusterNames.MODEL,
         ClusterNames.CURRENT_VERSION,
-        List.of(ClusterNames.FORMER_VERSION, ClusterNames.CURRENT_VERSION));
+        List.of(ClusterNames.PREVIOUS_VERSION, ClusterNames.CURRENT_VERSION));
   }
 
   private ObjectValues.Endpoint endpoint(EndpointNode node) {
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterNames.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterNames.java
@@ -13,7 +13,7 @@
   public static final String SLIPS = "slips";
 
   /** The previous version of each adapter; requests may still name it. */
-  public static final String FORMER_VERSION = "v1";
+  public static final String PREVIOUS_VERSION = "v1";
 
   /** The current version of each adapter. */
   public static final String CURRENT_VERSION = "v2";
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterProxies.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/ClusterProxies.java
@@ -39,7 +39,7 @@
     for (DaemonNode daemon : daemons) {
       for (DaemonNode peer : daemons) {
         if (peer != daemon) {
-          proxies.put(peerKey(daemon.id(), peer.id()), FaultProxy.start(0, peer.peers()));
+          proxies.put(peerKey(daemon.id(), peer.id()), FaultProxy.start(0, peer.peerAddress()));
         }
       }
     }
@@ -65,7 +65,7 @@
   }
 
   InetSocketAddress peerFor(DaemonNode from, DaemonNode to) {
-    return plan.beforePeersAndEndpoints() ? toPeer(from.id(), to.id()).address() : to.peers();
+    return plan.beforePeersAndEndpoints() ? toPeer(from.id(), to.id()).address() : to.peerAddress();
   }
 
   InetSocketAddress endpointFor(EndpointNode endpoint) {
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/DaemonNode.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/DaemonNode.java
@@ -21,9 +21,9 @@
   DaemonNode(String id, String dataCentre, FreePorts ports) throws IOException {
     this.id = id;
     this.dataCentre = dataCentre;
-    this.callerPort = ports.take();
-    this.operatorPort = ports.take();
-    this.peerPort = ports.take();
+    this.callerPort = ports.allocate();
+    this.operatorPort = ports.allocate();
+    this.peerPort = ports.allocate();
   }
 
   /** Returns the daemon's name. */
@@ -42,17 +42,17 @@
   }
 
   /** Returns the address for callers. */
-  public InetSocketAddress callers() {
+  public InetSocketAddress callerAddress() {
     return Addresses.loopback(callerPort);
   }
 
   /** Returns the address for operators. */
-  public InetSocketAddress operators() {
+  public InetSocketAddress operatorAddress() {
     return Addresses.loopback(operatorPort);
   }
 
   /** Returns the address for peers. */
-  public InetSocketAddress peers() {
+  public InetSocketAddress peerAddress() {
     return Addresses.loopback(peerPort);
   }
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/EndpointNode.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/EndpointNode.java
@@ -23,7 +23,7 @@
     this.id = id;
     this.dataCentre = dataCentre;
     this.kind = kind;
-    this.port = ports.take();
+    this.port = ports.allocate();
   }
 
   /** Type of an endpoint; the configuration uses the same names. */
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/FreePorts.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/FreePorts.java
@@ -28,7 +28,7 @@
    *
    * @throws IOException if no port is free
    */
-  public synchronized int take() throws IOException {
+  public synchronized int allocate() throws IOException {
     for (int attempts = 0; attempts < LAST - FIRST; attempts++) {
       next = next + 1 > LAST ? FIRST : next + 1;
       if (free(next)) {
--- a/testbed/src/main/java/io/sequoiapass/testbed/launch/LaunchedProcess.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/launch/LaunchedProcess.java
@@ -93,7 +93,7 @@
     try {
       ready.get(limitMs, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IOException(name + " did not become ready:\n" + lastErrors(), e);
+      throw new IOException(name + " did not become ready:\n" + logTail(), e);
     }
   }
 
@@ -112,7 +112,7 @@
   }
 
   /** Returns the last lines of its log. */
-  public String lastErrors() {
+  public String logTail() {
     try {
       List<String> lines = Files.readAllLines(errors);
       return String.join("\n", lines.subList(Math.max(0, lines.size() - TAIL_LINES), lines.size()));
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/LoadPlan.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/LoadPlan.java
@@ -80,7 +80,8 @@
       return new PlannedRequest(
           id, atMicros, Optional.empty(), Optional.empty(), tokens, priority, false);
     }
-    Optional<String> version = former ? Optional.of(ClusterNames.FORMER_VERSION) : Optional.empty();
+    Optional<String> version =
+        former ? Optional.of(ClusterNames.PREVIOUS_VERSION) : Optional.empty();
     Optional<String> adapter = Optional.of(ClusterNames.adapter(rank));
     return new PlannedRequest(id, atMicros, adapter, version, tokens, priority, !once);
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/load/LoadTool.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/load/LoadTool.java
@@ -20,7 +20,7 @@
  * Sends a load to entry daemons, each request at its scheduled time, and checks every answer.
  *
  * <pre>{@code
- * try (LoadTool tool = LoadTool.to(List.of(daemon.callers()))) {
+ * try (LoadTool tool = LoadTool.to(List.of(daemon.callerAddress()))) {
  *   tool.start(plan.requests());
  *   LoadReport report = tool.await(60_000);
  * }
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/ChangeWatch.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/ChangeWatch.java
@@ -32,7 +32,7 @@
 
   /** Changes an adapter; the start time is taken before the call, so that no delay is omitted. */
   void change(String adapter) throws IOException, InterruptedException {
-    List<String> versions = List.of(ClusterNames.FORMER_VERSION, ClusterNames.CURRENT_VERSION);
+    List<String> versions = List.of(ClusterNames.PREVIOUS_VERSION, ClusterNames.CURRENT_VERSION);
     ObjectValues.Adapter value =
         new ObjectValues.Adapter(ClusterNames.MODEL, ClusterNames.CURRENT_VERSION, versions);
     HttpCall call =
@@ -82,7 +82,7 @@
       throws IOException, InterruptedException {
     String query = "/timeline?kind=CONFIGURATION_APPLIED&limit=10000&since=" + since;
     JsonObject answer =
-        cluster.http().read(HttpCall.to(daemon.operators(), "GET", query), JsonObject.class);
+        cluster.http().read(HttpCall.to(daemon.operatorAddress(), "GET", query), JsonObject.class);
     Map<String, List<Applied>> found = new HashMap<>();
     for (JsonElement event : answer.getAsJsonArray("events")) {
       long wallMs = event.getAsJsonObject().get("wallMs").getAsLong();
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/ControlSample.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/ControlSample.java
@@ -45,7 +45,7 @@
     long frames = 0;
     for (DaemonNode daemon : cluster.daemons()) {
       ProcessStats stats = daemon.process().stats();
-      HttpCall call = HttpCall.to(daemon.operators(), "GET", "/metrics");
+      HttpCall call = HttpCall.to(daemon.operatorAddress(), "GET", "/metrics");
       JsonObject metrics = cluster.http().read(call, JsonObject.class);
       cpu += stats.cpuMillis();
       resident += stats.residentKb();
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/DaemonMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/DaemonMeasurement.java
@@ -119,7 +119,7 @@
   }
 
   private static LoadTool tool(Cluster cluster) {
-    return LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList());
+    return LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList());
   }
 
   private static double meanTokens(LoadReport report) {
@@ -165,7 +165,7 @@
         JsonObject metrics =
             cluster
                 .http()
-                .read(HttpCall.to(daemon.operators(), "GET", "/metrics"), JsonObject.class);
+                .read(HttpCall.to(daemon.operatorAddress(), "GET", "/metrics"), JsonObject.class);
         cpu += stats.cpuMillis();
         resident += stats.residentKb();
         peak += stats.peakResidentKb();
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultKind.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultKind.java
@@ -81,36 +81,36 @@
   PLATFORM_OUT(false) {
     @Override
     void begin(Cluster cluster, int target) throws IOException, InterruptedException {
-      cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
+      cluster.setFaults(cluster.platformAddress(), "{\"outage\":true}");
     }
 
     @Override
     void end(Cluster cluster, int target) throws IOException, InterruptedException {
-      cluster.faults(cluster.platformAddress(), "{}");
+      cluster.setFaults(cluster.platformAddress(), "{}");
     }
   },
   /** An engine restarts without loaded adapters. */
   RESTART_ENGINE(false) {
     @Override
     void begin(Cluster cluster, int target) throws IOException, InterruptedException {
-      cluster.faults(endpoint(cluster, EndpointKind.ENGINE, target), "{\"restart\":true}");
+      cluster.setFaults(endpoint(cluster, EndpointKind.ENGINE, target), "{\"restart\":true}");
     }
 
     @Override
     void end(Cluster cluster, int target) throws IOException, InterruptedException {
-      cluster.faults(endpoint(cluster, EndpointKind.ENGINE, target), "{}");
+      cluster.setFaults(endpoint(cluster, EndpointKind.ENGINE, target), "{}");
     }
   },
   /** A plain service runs the requests that it receives, but its answers are lost. */
   LOSE_ANSWERS(false) {
     @Override
     void begin(Cluster cluster, int target) throws IOException, InterruptedException {
-      cluster.faults(endpoint(cluster, EndpointKind.SERVICE, target), "{\"lose_answer\":true}");
+      cluster.setFaults(endpoint(cluster, EndpointKind.SERVICE, target), "{\"lose_answer\":true}");
     }
 
     @Override
     void end(Cluster cluster, int target) throws IOException, InterruptedException {
-      cluster.faults(endpoint(cluster, EndpointKind.SERVICE, target), "{}");
+      cluster.setFaults(endpoint(cluster, EndpointKind.SERVICE, target), "{}");
     }
   };
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultSchedule.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/FaultSchedule.java
@@ -86,10 +86,10 @@
     int daemons = cluster.daemons().size();
     for (int i = 0; i < daemons; i++) {
       if (!down.contains((number + i) % daemons)) {
-        return cluster.daemons().get((number + i) % daemons).callers();
+        return cluster.daemons().get((number + i) % daemons).callerAddress();
       }
     }
-    return cluster.daemons().get(number % daemons).callers();
+    return cluster.daemons().get(number % daemons).callerAddress();
   }
 
   /**
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/LatencyMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/LatencyMeasurement.java
@@ -84,7 +84,9 @@
   private static long dataBytes(Cluster cluster, DaemonNode daemon)
       throws IOException, InterruptedException {
     JsonObject metrics =
-        cluster.http().read(HttpCall.to(daemon.operators(), "GET", "/metrics"), JsonObject.class);
+        cluster
+            .http()
+            .read(HttpCall.to(daemon.operatorAddress(), "GET", "/metrics"), JsonObject.class);
     return metrics.get("peer.data.bytes").getAsLong();
   }
 
@@ -184,7 +186,7 @@
   }
 
   private static HttpCall daemonCall(DaemonNode daemon, int adapter, String id) {
-    return HttpCall.to(daemon.callers(), "POST", "/v1/completions")
+    return HttpCall.to(daemon.callerAddress(), "POST", "/v1/completions")
         .header("Request-Id", id)
         .body(
             "{\"model\":\"%s\",\"prompt\":\"p\",\"max_tokens\":%d,\"stream\":true}"
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/OverloadMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/OverloadMeasurement.java
@@ -91,7 +91,7 @@
       throws InterruptedException {
     LoadPlan plan = new LoadPlan(duration, rate, ADAPTERS, 0, tokens, 0, 0, 0, seed);
     try (LoadTool tool =
-        LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())
+        LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList())
             .deadlineMs(deadline)) {
       tool.start(plan.requests());
       return tool.await(TimeUnit.SECONDS.toMillis(duration) + 2L * deadline + LONG_DEADLINE_MS);
@@ -105,7 +105,7 @@
           "{\"model\":\"%s\",\"prompt\":\"warm-up\",\"max_tokens\":1}"
               .formatted(ClusterNames.adapter(adapter));
       for (DaemonNode daemon : cluster.daemons()) {
-        HttpCall call = HttpCall.to(daemon.callers(), "POST", "/v1/completions").body(body);
+        HttpCall call = HttpCall.to(daemon.callerAddress(), "POST", "/v1/completions").body(body);
         for (int attempts = 0; !cluster.http().send(call).ok(); attempts++) {
           if (attempts >= MAX_WARM_UP_ATTEMPTS) {
             throw new IOException("no answer for " + ClusterNames.adapter(adapter));
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/PlatformCalls.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/PlatformCalls.java
@@ -29,7 +29,7 @@
     counted.asMap().forEach((kind, count) -> calls.put(kind, count.getAsLong()));
     Map<String, Long> bytes = new TreeMap<>();
     for (DaemonNode daemon : cluster.daemons()) {
-      HttpCall metrics = HttpCall.to(daemon.operators(), "GET", "/metrics");
+      HttpCall metrics = HttpCall.to(daemon.operatorAddress(), "GET", "/metrics");
       JsonObject read = cluster.http().read(metrics, JsonObject.class);
       bytes.put(
           daemon.id() + "@" + daemon.dataCentre(), read.get("peer.control.bytes").getAsLong());
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/RecoveryMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/RecoveryMeasurement.java
@@ -46,9 +46,9 @@
               + " | control B/s a daemon | most B/s |");
       System.out.println("|---|---|---|---|---|---|---|---|---|---|");
       printSlice(cluster, "before", TimeUnit.SECONDS.toMillis(BEFORE_SECONDS));
-      cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
+      cluster.setFaults(cluster.platformAddress(), "{\"outage\":true}");
       printSlice(cluster, "out", TimeUnit.SECONDS.toMillis(outageSeconds));
-      cluster.faults(cluster.platformAddress(), "{}");
+      cluster.setFaults(cluster.platformAddress(), "{}");
       long slices = TimeUnit.SECONDS.toMillis(seconds) / SLICE_MS;
       for (int i = 1; i <= slices; i++) {
         printSlice(cluster, "%.1f s after".formatted(i * SLICE_MS / 1_000.0), SLICE_MS);
--- a/testbed/src/main/java/io/sequoiapass/testbed/measure/VariantMeasurement.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/measure/VariantMeasurement.java
@@ -97,7 +97,7 @@
 
   private static LoadReport runLoad(Cluster cluster, LoadPlan plan) throws InterruptedException {
     try (LoadTool tool =
-        LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())) {
+        LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList())) {
       tool.start(plan.requests());
       return tool.await(ANSWERS_LIMIT_MS);
     }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationFailureTest.java
@@ -53,7 +53,7 @@
       cluster.objects().put("adapter", ClusterNames.adapter(0), changed);
       DaemonNode daemon = cluster.daemon("d1");
       probe.await("applied everywhere", PROPAGATION_MS, () -> allAnswerWith(cluster, "v1"));
-      cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
+      cluster.setFaults(cluster.platformAddress(), "{\"outage\":true}");
 
       daemon.process().kill();
       cluster.restart(daemon);
@@ -81,7 +81,9 @@
         "{\"model\":\"%s\",\"prompt\":\"probe\",\"max_tokens\":1}"
             .formatted(ClusterNames.adapter(0));
     HttpAnswer answer =
-        cluster.http().send(HttpCall.to(daemon.callers(), "POST", "/v1/completions").body(body));
+        cluster
+            .http()
+            .send(HttpCall.to(daemon.callerAddress(), "POST", "/v1/completions").body(body));
     return answer.ok() && version.equals(answer.headers().get("Adapter-Version"));
   }
 
@@ -135,7 +137,7 @@
     try (Cluster cluster = cluster(2)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       try (LoadTool tool =
-          LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())) {
+          LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList())) {
         tool.start(new LoadPlan(9, 40, 4, 0, 10, 0, 0, 0, 8).requests());
         probe.await("e1 works", LIMIT_MS, () -> probe.auditCounter("e1", "accepted") > 0);
         long start = System.nanoTime();
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationProcessTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationProcessTest.java
@@ -75,7 +75,9 @@
         "{\"model\":\"%s\",\"prompt\":\"probe\",\"max_tokens\":1}"
             .formatted(ClusterNames.adapter(0));
     HttpAnswer answer =
-        cluster.http().send(HttpCall.to(daemon.callers(), "POST", "/v1/completions").body(body));
+        cluster
+            .http()
+            .send(HttpCall.to(daemon.callerAddress(), "POST", "/v1/completions").body(body));
     return answer.ok() && version.equals(answer.headers().get("Adapter-Version"));
   }
 
@@ -156,7 +158,7 @@
         String marker =
             "{\"kind\":\"adapter\",\"name\":\"mark\",\"version\":%d}".formatted(version);
 
-        try (StalePeer peer = StalePeer.connect(daemon.peers(), "d3", NORTH)) {
+        try (StalePeer peer = StalePeer.connect(daemon.peerAddress(), "d3", NORTH)) {
           peer.push(old);
           peer.push(marker);
           probe.await(
@@ -196,9 +198,9 @@
                 .body(
                     "{\"model\":\"%s\",\"current\":\"v1\",\"versions\":[\"v1\",\"v2\"]}"
                         .formatted(ClusterNames.MODEL));
-        cluster.faults(cluster.platformAddress(), "{\"lose_answers\":1.0}");
+        cluster.setFaults(cluster.platformAddress(), "{\"lose_answers\":1.0}");
         assertThat(isLost(cluster, change)).isTrue();
-        cluster.faults(cluster.platformAddress(), "{}");
+        cluster.setFaults(cluster.platformAddress(), "{}");
 
         HttpAnswer again = cluster.http().send(change);
 
@@ -227,7 +229,7 @@
   private static List<String> applied(Cluster cluster, DaemonNode daemon) throws Exception {
     String path = "/timeline?kind=CONFIGURATION_APPLIED&limit=10000";
     JsonObject line =
-        cluster.http().read(HttpCall.to(daemon.operators(), "GET", path), JsonObject.class);
+        cluster.http().read(HttpCall.to(daemon.operatorAddress(), "GET", path), JsonObject.class);
     List<String> applied = new ArrayList<>();
     for (JsonElement event : line.getAsJsonArray("events")) {
       for (String word : event.getAsJsonObject().get("detail").getAsString().split(" ", -1)) {
@@ -370,7 +372,8 @@
      */
     private long effectiveTimeAt(Cluster cluster, DaemonNode daemon, String preset)
         throws Exception {
-      HttpCall call = HttpCall.to(daemon.operators(), "GET", "/timeline?kind=PRESET_IN_FORCE");
+      HttpCall call =
+          HttpCall.to(daemon.operatorAddress(), "GET", "/timeline?kind=PRESET_IN_FORCE");
       JsonObject line = cluster.http().read(call, JsonObject.class);
       for (JsonElement event : line.getAsJsonArray("events")) {
         if (event.getAsJsonObject().get("detail").getAsString().equals(preset)) {
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/HostListFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/HostListFailureTest.java
@@ -147,7 +147,7 @@
   }
 
   private static LoadTool tool(Cluster cluster) {
-    return LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList());
+    return LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList());
   }
 
   private static long assertNoNewWorkAfter(OwnershipProbe probe, long limitMs) throws Exception {
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/KeyedCalls.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/KeyedCalls.java
@@ -22,7 +22,7 @@
 
   HttpResponse<String> sendSlip(String daemon, String key, String body)
       throws IOException, InterruptedException {
-    return new HttpProbe(cluster.daemon(daemon).callers())
+    return new HttpProbe(cluster.daemon(daemon).callerAddress())
         .call(
             "POST",
             "/services/" + ClusterNames.SLIPS + "/pay",
@@ -70,7 +70,7 @@
 
   void faults(String json) throws IOException, InterruptedException {
     for (EndpointNode service : cluster.endpoints(EndpointNode.EndpointKind.SERVICE)) {
-      cluster.faults(service.address(), json);
+      cluster.setFaults(service.address(), json);
     }
   }
 
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/KeyedLoad.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/KeyedLoad.java
@@ -72,7 +72,7 @@
     String path = "/services/" + ClusterNames.SLIPS + "/pay";
     try {
       HttpResponse<String> answer =
-          new HttpProbe(daemon.callers())
+          new HttpProbe(daemon.callerAddress())
               .call(
                   "POST",
                   path,
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OverloadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OverloadTest.java
@@ -90,7 +90,7 @@
     String body =
         "{\"model\":\"%s\",\"prompt\":\"p\",\"max_tokens\":%d}"
             .formatted(ClusterNames.adapter(adapter), TOKENS);
-    return new HttpProbe(daemon.callers())
+    return new HttpProbe(daemon.callerAddress())
         .call(
             "POST",
             "/v1/completions",
@@ -125,7 +125,8 @@
   }
 
   private static LoadTool load(Cluster cluster, String service, List<PlannedRequest> plan) {
-    List<InetSocketAddress> daemons = cluster.daemons().stream().map(DaemonNode::callers).toList();
+    List<InetSocketAddress> daemons =
+        cluster.daemons().stream().map(DaemonNode::callerAddress).toList();
     LoadTool tool = LoadTool.to(daemons).deadlineMs(DEADLINE_MS).service(service);
     tool.start(plan);
     return tool;
@@ -149,7 +150,9 @@
     long most = 0;
     for (DaemonNode daemon : cluster.daemons()) {
       JsonObject metrics =
-          cluster.http().read(HttpCall.to(daemon.operators(), "GET", "/metrics"), JsonObject.class);
+          cluster
+              .http()
+              .read(HttpCall.to(daemon.operatorAddress(), "GET", "/metrics"), JsonObject.class);
       if (metrics.has("admission.refused.after.ms")) {
         JsonObject held = metrics.getAsJsonObject("admission.refused.after.ms");
         System.out.println("overload: " + daemon.id() + " held what it refused, in ms: " + held);
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipFailureTest.java
@@ -71,7 +71,7 @@
       String frozen = probe.owner("e1", "yard-north");
       List<DaemonNode> others =
           cluster.daemons().stream().filter(daemon -> !daemon.id().equals(frozen)).toList();
-      try (LoadTool tool = LoadTool.to(others.stream().map(DaemonNode::callers).toList())) {
+      try (LoadTool tool = LoadTool.to(others.stream().map(DaemonNode::callerAddress).toList())) {
         tool.start(new LoadPlan(8, 30, 12, 0.5, 40, 0, 0, 0, 6).requests());
         cluster.daemon(frozen).process().pause();
         probe.await("takeover", LIMIT_MS, () -> !probe.owner("e1", "yard-north").equals(frozen));
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipOutageTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipOutageTest.java
@@ -60,7 +60,7 @@
       OwnershipProbe probe = new OwnershipProbe(cluster);
       DaemonNode cut = cluster.daemon(probe.owner("e1", "yard-north"));
       try (LoadTool tool =
-          LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())) {
+          LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList())) {
         int seconds = 4 * LEASE_MS / 1_000;
         tool.start(new LoadPlan(seconds, 20, ADAPTERS, 0.5, 20, 0, 0, 0, 11).requests());
         cluster.proxies().toPlatform(cut.id()).set(ProxyFault.cut());
@@ -92,14 +92,14 @@
       // failure.
       DaemonNode replaced = cluster.daemon("d3");
       List<DaemonNode> entries = List.of(cluster.daemon("d1"), cluster.daemon("d2"));
-      try (LoadTool tool = LoadTool.to(entries.stream().map(DaemonNode::callers).toList())) {
+      try (LoadTool tool = LoadTool.to(entries.stream().map(DaemonNode::callerAddress).toList())) {
         tool.start(planWithShiftingPopularity());
-        cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
+        cluster.setFaults(cluster.platformAddress(), "{\"outage\":true}");
         probe.await("half", LIMIT_MS + 500L * OUTAGE_SECONDS, () -> tool.sent() > sentBy(0.4));
         replaced.process().kill();
         cluster.restart(replaced);
         LoadReport clientReport = tool.await(2 * LIMIT_MS + 1_000L * OUTAGE_SECONDS);
-        cluster.faults(cluster.platformAddress(), "{}");
+        cluster.setFaults(cluster.platformAddress(), "{}");
 
         ConsistencyChecker checker = ConsistencyChecker.of(cluster);
         LoadReport report = checker.apply(clientReport);
@@ -179,17 +179,17 @@
     try (Cluster cluster = cluster(true)) {
       OwnershipProbe probe = new OwnershipProbe(cluster);
       DaemonNode remaining = cluster.daemon("d3");
-      try (LoadTool tool = LoadTool.to(List.of(remaining.callers()))) {
+      try (LoadTool tool = LoadTool.to(List.of(remaining.callerAddress()))) {
         tool.start(new LoadPlan(10, 15, 3, 0, 30, 0, 0, 0, 31).requests());
         probe.await("load", LIMIT_MS, () -> tool.sent() > 40);
-        cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
+        cluster.setFaults(cluster.platformAddress(), "{\"outage\":true}");
         probe.await("load", LIMIT_MS, () -> tool.sent() > 70);
         cluster.daemon("d1").process().stop();
         cluster.daemon("d2").process().stop();
         cluster.daemon("d1").process().awaitExit(LIMIT_MS);
         cluster.daemon("d2").process().awaitExit(LIMIT_MS);
         LoadReport clientReport = tool.await(LIMIT_MS);
-        cluster.faults(cluster.platformAddress(), "{}");
+        cluster.setFaults(cluster.platformAddress(), "{}");
         probe.await("the remaining daemon owns all", LIMIT_MS, () -> probe.owned(remaining) == 3);
 
         ConsistencyChecker checker = ConsistencyChecker.of(cluster);
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipProbe.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipProbe.java
@@ -69,7 +69,7 @@
 
   Optional<JsonObject> status(DaemonNode daemon) throws InterruptedException {
     try {
-      HttpCall call = HttpCall.to(daemon.operators(), "GET", "/status");
+      HttpCall call = HttpCall.to(daemon.operatorAddress(), "GET", "/status");
       return Optional.of(cluster.http().read(call, JsonObject.class));
     } catch (IOException unreachable) {
       return Optional.empty();
@@ -86,7 +86,7 @@
 
   boolean ready(DaemonNode daemon) throws InterruptedException {
     try {
-      return cluster.http().send(HttpCall.to(daemon.operators(), "GET", "/ready")).ok();
+      return cluster.http().send(HttpCall.to(daemon.operatorAddress(), "GET", "/ready")).ok();
     } catch (IOException unreachable) {
       return false;
     }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipTakeoverLoadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/OwnershipTakeoverLoadTest.java
@@ -64,7 +64,7 @@
       List<String> elsewhere = adaptersNotOwnedBy(enginesByAdapter, probe, victim);
       List<DaemonNode> others =
           cluster.daemons().stream().filter(daemon -> !daemon.id().equals(victim)).toList();
-      try (LoadTool tool = LoadTool.to(others.stream().map(DaemonNode::callers).toList())) {
+      try (LoadTool tool = LoadTool.to(others.stream().map(DaemonNode::callerAddress).toList())) {
         tool.start(requests(elsewhere));
         probe.await("before", LIMIT_MS, () -> tool.sent() >= RATE * BEFORE_SECONDS);
         cluster.daemon(victim).process().kill();
@@ -134,7 +134,8 @@
       String adapter = ClusterNames.adapter(i);
       Map<String, Long> before = accepted(cluster, probe);
       String body = "{\"model\":\"%s\",\"prompt\":\"probe\",\"max_tokens\":1}".formatted(adapter);
-      HttpCall call = HttpCall.to(cluster.daemons().get(0).callers(), "POST", "/v1/completions");
+      HttpCall call =
+          HttpCall.to(cluster.daemons().get(0).callerAddress(), "POST", "/v1/completions");
       HttpAnswer answer = cluster.http().send(call.body(body));
       assertThat(answer.ok()).as(answer.text()).isTrue();
       accepted(cluster, probe)
@@ -190,7 +191,7 @@
           cluster.daemons().stream().filter(daemon -> !daemon.id().equals(failed)).toList();
       DaemonNode stopping = probe.owned(others.get(0)) > 0 ? others.get(0) : others.get(1);
       DaemonNode remaining = stopping == others.get(0) ? others.get(1) : others.get(0);
-      try (LoadTool tool = LoadTool.to(List.of(remaining.callers()))) {
+      try (LoadTool tool = LoadTool.to(List.of(remaining.callerAddress()))) {
         tool.start(requests(elsewhere));
         probe.await("before", LIMIT_MS, () -> tool.sent() >= RATE * BEFORE_SECONDS / 2);
         cluster.daemon(failed).process().kill();
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/PlacementFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/PlacementFailureTest.java
@@ -33,7 +33,7 @@
       sendRequests(cluster, 0, 5);
       sendRequests(cluster, 1, 1);
       preset(cluster, probe, "PEAK");
-      cluster.faults(cluster.endpoint("e1").address(), "{\"restart\":true}");
+      cluster.setFaults(cluster.endpoint("e1").address(), "{\"restart\":true}");
       probe.await("restart seen", LIMIT_MS, () -> eventCount(cluster, "ENGINE_RESTARTED") == 1);
       int before = startedLoads(cluster).size();
       sendRequests(cluster, 3, 1);
@@ -62,7 +62,7 @@
       long before = probe.auditCounter("e1", "accepted");
       int complete = 0;
       for (int i = 0; i < RESTARTS; i++) {
-        cluster.faults(cluster.endpoint("e1").address(), "{\"restart\":true}");
+        cluster.setFaults(cluster.endpoint("e1").address(), "{\"restart\":true}");
         HttpAnswer answer = call(cluster, 0);
         if (answer.ok()) {
           complete++;
@@ -92,13 +92,13 @@
       OwnershipProbe probe = new OwnershipProbe(cluster);
       long before = probe.auditCounter("e1", "accepted");
       int answered = eventCount(cluster, "REQUEST_ANSWERED");
-      cluster.faults(cluster.endpoint("e1").address(), "{\"fail_loads\":1.0}");
+      cluster.setFaults(cluster.endpoint("e1").address(), "{\"fail_loads\":1.0}");
       Thread caller = new Thread(() -> sendRequestUnchecked(cluster));
       caller.start();
       probe.await(
           "two failed loads", LIMIT_MS, () -> probe.auditCounter("e1", "failed_loads") >= 2);
       assertThat(probe.auditCounter("e1", "accepted")).isEqualTo(before);
-      cluster.faults(cluster.endpoint("e1").address(), "{}");
+      cluster.setFaults(cluster.endpoint("e1").address(), "{}");
       caller.join(LIMIT_MS);
 
       assertThat(probe.auditCounter("e1", "accepted")).isEqualTo(before + 1);
@@ -177,7 +177,9 @@
     String body = "{\"model\":\"%s\",\"prompt\":\"p\",\"max_tokens\":2}".formatted(name);
     return cluster
         .http()
-        .send(HttpCall.to(cluster.daemon("d1").callers(), "POST", "/v1/completions").body(body));
+        .send(
+            HttpCall.to(cluster.daemon("d1").callerAddress(), "POST", "/v1/completions")
+                .body(body));
   }
 
   private static List<String> startedLoads(Cluster cluster) throws Exception {
@@ -194,7 +196,8 @@
   }
 
   private static List<JsonElement> events(Cluster cluster, String kind) throws Exception {
-    HttpCall call = HttpCall.to(cluster.daemon("d1").operators(), "GET", "/timeline?kind=" + kind);
+    HttpCall call =
+        HttpCall.to(cluster.daemon("d1").operatorAddress(), "GET", "/timeline?kind=" + kind);
     return cluster.http().read(call, JsonObject.class).getAsJsonArray("events").asList();
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestDeadlineTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestDeadlineTest.java
@@ -20,9 +20,9 @@
   void aRequestThatOnlyWaitedIsReportedAsNotRun() throws Exception {
     try (Cluster cluster = Cluster.builder().daemons(2).engines(1).adapters(2).start()) {
       cluster.awaitServing(LIMIT_MS);
-      cluster.faults(cluster.endpoint("e1").address(), "{\"hang_loads\":true}");
+      cluster.setFaults(cluster.endpoint("e1").address(), "{\"hang_loads\":true}");
       for (int i = 0; i < REQUESTS; i++) {
-        HttpProbe probe = new HttpProbe(cluster.daemons().get(i % 2).callers());
+        HttpProbe probe = new HttpProbe(cluster.daemons().get(i % 2).callerAddress());
         String body =
             "{\"model\":\"%s\",\"prompt\":\"p\",\"max_tokens\":2}"
                 .formatted(ClusterNames.adapter(1));
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestInputTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestInputTest.java
@@ -25,7 +25,7 @@
   void invalidInputIsRefusedAndAffectsNoOtherCaller() throws Exception {
     try (Cluster cluster = Cluster.builder().daemons(1).engines(1).adapters(1).start()) {
       cluster.awaitServing(LIMIT_MS);
-      InetSocketAddress daemon = cluster.daemon("d1").callers();
+      InetSocketAddress daemon = cluster.daemon("d1").callerAddress();
       HttpProbe probe = new HttpProbe(daemon);
       CompletableFuture<HttpResponse<String>> longAnswer =
           probe.start("POST", PATH, body(ClusterNames.adapter(0), TOKENS));
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestSlowCallerTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestSlowCallerTest.java
@@ -47,7 +47,7 @@
       List<Socket> sockets = new ArrayList<>();
       try {
         for (int i = 0; i < CALLERS; i++) {
-          sockets.add(sendRequest(cluster.daemon("d1").callers(), i));
+          sockets.add(sendRequest(cluster.daemon("d1").callerAddress(), i));
         }
         // The pause itself is the input of this test; there is no condition to wait for.
         TimeUnit.MILLISECONDS.sleep(READ_PAUSE_MS);
@@ -60,7 +60,7 @@
         }
       }
       assertThat(accepted(engine) - before).as("none was run again").isEqualTo(CALLERS);
-      assertThat(cluster.daemon("d1").process().lastErrors()).doesNotContain("OutOfMemory");
+      assertThat(cluster.daemon("d1").process().logTail()).doesNotContain("OutOfMemory");
     }
   }
 
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestStreamTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestStreamTest.java
@@ -58,11 +58,11 @@
   void aStreamCutBeforeItsLastTokenIsReadToItsEnd() throws Exception {
     HttpProbe engine = new HttpProbe(cluster.endpoint("e1").address());
     long before = engine.json("/judge").get("accepted").getAsLong();
-    cluster.faults(cluster.endpoint("e1").address(), "{\"cut_stream_after\":9}");
+    cluster.setFaults(cluster.endpoint("e1").address(), "{\"cut_stream_after\":9}");
     HttpResponse<String> answer =
-        new HttpProbe(cluster.daemon("d1").callers())
+        new HttpProbe(cluster.daemon("d1").callerAddress())
             .call("POST", "/v1/completions", body(10, false));
-    cluster.faults(cluster.endpoint("e1").address(), "{}");
+    cluster.setFaults(cluster.endpoint("e1").address(), "{}");
 
     JsonObject complete = JsonParser.parseString(answer.body()).getAsJsonObject();
     assertThat(complete.get("outcome").getAsString()).isEqualTo("ANSWERED");
@@ -113,7 +113,7 @@
 
   private static List<String> timeline(DaemonNode daemon) throws Exception {
     List<String> kinds = new ArrayList<>();
-    new HttpProbe(daemon.operators())
+    new HttpProbe(daemon.operatorAddress())
         .json("/timeline")
         .getAsJsonArray("events")
         .forEach(event -> kinds.add(event.getAsJsonObject().get("kind").getAsString()));
@@ -121,7 +121,7 @@
   }
 
   private static Stream<String> stream(DaemonNode entry) throws IOException, InterruptedException {
-    URI uri = URI.create("http://127.0.0.1:" + entry.callers().getPort() + "/v1/completions");
+    URI uri = URI.create("http://127.0.0.1:" + entry.callerAddress().getPort() + "/v1/completions");
     HttpRequest request =
         HttpRequest.newBuilder(uri)
             .POST(HttpRequest.BodyPublishers.ofString(body(TOKENS, true)))
@@ -131,7 +131,7 @@
 
   private static DaemonNode owner() throws IOException, InterruptedException {
     for (DaemonNode daemon : cluster.daemons()) {
-      if (new HttpProbe(daemon.operators()).json("/status").get("owned").getAsInt() > 0) {
+      if (new HttpProbe(daemon.operatorAddress()).json("/status").get("owned").getAsInt() > 0) {
         return daemon;
       }
     }
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RetryStormTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RetryStormTest.java
@@ -33,7 +33,7 @@
   }
 
   private static long revision(Cluster cluster, DaemonNode daemon) throws Exception {
-    HttpCall call = HttpCall.to(daemon.operators(), "GET", "/status");
+    HttpCall call = HttpCall.to(daemon.operatorAddress(), "GET", "/status");
     return cluster.http().read(call, JsonObject.class).get("revision").getAsLong();
   }
 
@@ -65,13 +65,13 @@
         Cluster.builder().daemons(2).engines(0).services(3).daemonFlags("--threads", "1").start()) {
       cluster.awaitServing(LIMIT_MS);
       makeRepeatable(cluster);
-      cluster.faults(cluster.endpoint("s1").address(), "{\"lose_answer\":true}");
+      cluster.setFaults(cluster.endpoint("s1").address(), "{\"lose_answer\":true}");
       long before = runs(cluster);
       int answered = 0;
       for (int i = 0; i < CALLS; i++) {
         DaemonNode daemon = cluster.daemons().get(i % 2);
         String path = "/services/" + ClusterNames.SLIPS + "/lookup";
-        HttpAnswer answer = cluster.http().send(HttpCall.to(daemon.callers(), "POST", path));
+        HttpAnswer answer = cluster.http().send(HttpCall.to(daemon.callerAddress(), "POST", path));
         answered += answer.ok() ? 1 : 0;
       }
       long beyondFirst = runs(cluster) - before - CALLS;
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/StopTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/StopTest.java
@@ -58,7 +58,7 @@
         DaemonNode first = cluster.daemon("d1");
         DaemonNode second = cluster.daemon("d2");
         first.process().stop();
-        cluster.http().send(HttpCall.to(second.operators(), "POST", "/drain"));
+        cluster.http().send(HttpCall.to(second.operatorAddress(), "POST", "/drain"));
         first.process().awaitExit(LIMIT_MS);
         second.process().awaitExit(LIMIT_MS);
         assertThat(probe.owned(cluster.daemon("d3")))
@@ -121,7 +121,7 @@
       this.cluster = cluster;
       this.probe = probe;
       this.scheduler = scheduler;
-      this.ready = cluster.daemons().stream().map(DaemonNode::callers).toList();
+      this.ready = cluster.daemons().stream().map(DaemonNode::callerAddress).toList();
       scheduler.scheduleAtFixedRate(
           this::refresh, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
@@ -131,7 +131,7 @@
       try {
         for (DaemonNode daemon : cluster.daemons()) {
           if (probe.ready(daemon)) {
-            found.add(daemon.callers());
+            found.add(daemon.callerAddress());
           }
         }
       } catch (InterruptedException closing) {
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/TimelineFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/TimelineFailureTest.java
@@ -62,7 +62,9 @@
         "{\"model\":\"%s\",\"prompt\":\"p\",\"max_tokens\":%d}"
             .formatted(ClusterNames.adapter(0), TOKENS);
     HttpCall call =
-        HttpCall.to(entry.callers(), "POST", "/v1/completions").header("Request-Id", ID).body(body);
+        HttpCall.to(entry.callerAddress(), "POST", "/v1/completions")
+            .header("Request-Id", ID)
+            .body(body);
     return CompletableFuture.supplyAsync(
         () -> {
           try {
@@ -103,7 +105,7 @@
       throws Exception {
     List<MergedTimeline.Source> sources = new ArrayList<>();
     for (DaemonNode daemon : daemons) {
-      HttpCall call = HttpCall.to(daemon.operators(), "GET", "/timeline");
+      HttpCall call = HttpCall.to(daemon.operatorAddress(), "GET", "/timeline");
       TimelineReport report =
           new Gson().fromJson(cluster.http().send(call).text(), TimelineReport.class);
       sources.add(new MergedTimeline.Source(report, new ClockOffset(0, 0)));
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/VersionFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/VersionFailureTest.java
@@ -56,7 +56,8 @@
         }
         probe.await("work", LIMIT_MS, () -> accepted(probe) >= before + 5);
         putVersionInForce(
-            cluster, change % 2 == 0 ? ClusterNames.FORMER_VERSION : ClusterNames.CURRENT_VERSION);
+            cluster,
+            change % 2 == 0 ? ClusterNames.PREVIOUS_VERSION : ClusterNames.CURRENT_VERSION);
       }
       LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(LIMIT_MS));
 
@@ -78,7 +79,7 @@
         "{\"model\":\"%s\",\"prompt\":\"p\",\"max_tokens\":%d}"
             .formatted(ClusterNames.adapter(adapter), TOKENS);
     HttpCall call =
-        HttpCall.to(cluster.daemon("d1").callers(), "POST", "/v1/completions").body(body);
+        HttpCall.to(cluster.daemon("d1").callerAddress(), "POST", "/v1/completions").body(body);
     return CompletableFuture.supplyAsync(
         () -> {
           try {
@@ -105,7 +106,7 @@
   }
 
   private static void putVersionInForce(Cluster cluster, String inForce) throws Exception {
-    List<String> versions = List.of(ClusterNames.FORMER_VERSION, ClusterNames.CURRENT_VERSION);
+    List<String> versions = List.of(ClusterNames.PREVIOUS_VERSION, ClusterNames.CURRENT_VERSION);
     for (int i = 0; i < ADAPTERS; i++) {
       cluster
           .objects()
@@ -117,6 +118,6 @@
   }
 
   private static LoadTool tool(Cluster cluster) {
-    return LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList());
+    return LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList());
   }
 }
--- a/testbed/src/test/java/io/sequoiapass/testbed/launch/ClusterTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/launch/ClusterTest.java
@@ -29,7 +29,7 @@
 
       LoadReport report;
       try (LoadTool tool =
-          LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList())) {
+          LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList())) {
         tool.start(plan.requests());
         LoadReport unchecked = tool.await(LIMIT_MS);
         report = ConsistencyChecker.of(cluster).apply(unchecked);
--- a/testbed/src/test/java/io/sequoiapass/testbed/load/FaultsUnderLoadTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/load/FaultsUnderLoadTest.java
@@ -38,7 +38,7 @@
             .withProxies()
             .start();
     cluster.awaitServing(LIMIT_MS);
-    tool = LoadTool.to(cluster.daemons().stream().map(DaemonNode::callers).toList());
+    tool = LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList());
     tool.start(plan.requests());
     awaitSent(REQUESTS_BEFORE_FAULT);
   }
@@ -92,7 +92,7 @@
   @Test
   void engineRestartsEmpty() throws Exception {
     for (EndpointNode engine : cluster.endpoints(EndpointNode.EndpointKind.ENGINE)) {
-      cluster.faults(engine.address(), "{\"restart\":true}");
+      cluster.setFaults(engine.address(), "{\"restart\":true}");
     }
     assertNothingWrong();
   }
@@ -113,13 +113,13 @@
   // request ran.
   @Test
   void platformOutAndAnswersLost() throws Exception {
-    cluster.faults(cluster.platformAddress(), "{\"outage\":true}");
-    cluster.faults(cluster.endpoint("e1").address(), "{\"lose_answer\":true}");
-    cluster.faults(cluster.endpoint("s1").address(), "{\"lose_answer\":true}");
+    cluster.setFaults(cluster.platformAddress(), "{\"outage\":true}");
+    cluster.setFaults(cluster.endpoint("e1").address(), "{\"lose_answer\":true}");
+    cluster.setFaults(cluster.endpoint("s1").address(), "{\"lose_answer\":true}");
     awaitSent(REQUESTS_BEFORE_FAULT + REQUESTS_UNDER_FAULT);
-    cluster.faults(cluster.endpoint("e1").address(), "{}");
-    cluster.faults(cluster.endpoint("s1").address(), "{}");
-    cluster.faults(cluster.platformAddress(), "{}");
+    cluster.setFaults(cluster.endpoint("e1").address(), "{}");
+    cluster.setFaults(cluster.endpoint("s1").address(), "{}");
+    cluster.setFaults(cluster.platformAddress(), "{}");
     assertNothingWrong();
   }
 }
