--- a/coordination/src/main/java/io/sequoiapass/coordination/AdapterVersion.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/AdapterVersion.java
@@ -21,7 +21,7 @@
   /** Separates adapter and version in the text form. */
   public static final char SEPARATOR = '@';
 
-  /** Checks that both parts are present. */
+  /** Checks that neither part is null. */
   public AdapterVersion {
     Objects.requireNonNull(adapter, "adapter");
     Objects.requireNonNull(version, "version");
--- a/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineStreamListener.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/connection/engine/EngineStreamListener.java
@@ -6,14 +6,15 @@
  * Receives an engine's answer to one request. Called on the connection's event loop; must not
  * block.
  *
- * <p>Any number of calls of {@link #frames} are followed by exactly one call of another method.
+ * <p>{@link #frames} is called zero or more times, followed by exactly one call of {@link #ended},
+ * {@link #refused} or {@link #lost}.
  */
 public interface EngineStreamListener {
 
   /**
-   * Called with the events of one read from the connection.
+   * Called with the frames of one read from the connection.
    *
-   * @param frames the events in order, at least one
+   * @param frames the frames in order, at least one
    */
   void frames(List<EngineFrame> frames);
 
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/log/LogEventTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/log/LogEventTest.java
@@ -22,7 +22,7 @@
 
   @ParameterizedTest
   @EnumSource(LogEvent.class)
-  void formatsHoldOnlyPlainParameters(LogEvent event) {
+  void formatAcceptsStringArgumentsAndDescriptionIsPresent(LogEvent event) {
     Object[] arguments = new Object[event.parameters()];
     Arrays.fill(arguments, "value");
 
@@ -30,7 +30,10 @@
     assertThat(event.description()).isNotBlank();
   }
 
-  /** Numbers must keep their meaning because operators' alerts depend on them. */
+  /**
+   * Event numbers must keep their meaning because operators' alerts depend on them. A change of an
+   * event's number, name or level therefore needs approval.
+   */
   @Test
   void catalogueIsApproved() {
     String catalogue =
--- a/gateway/src/main/java/io/sequoiapass/gateway/process/LoadReply.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/process/LoadReply.java
@@ -16,7 +16,8 @@
   /**
    * Another data centre holds or loads the adapter.
    *
-   * @param placement the copy
+   * @param placement the endpoint that holds or loads it, the version, and the time until it is
+   *     loaded
    */
   record HeldElsewhere(LinkMessage.Placement placement) implements LoadReply {}
 
@@ -26,7 +27,7 @@
   /**
    * No slot can be freed now.
    *
-   * @param retryAfterMs when to retry, in milliseconds
+   * @param retryAfterMs delay before the load should be requested again, in milliseconds
    */
   record Rejected(long retryAfterMs) implements LoadReply {}
 }
--- a/gateway/src/test/java/io/sequoiapass/gateway/process/StoreFreshnessTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/process/StoreFreshnessTest.java
@@ -22,8 +22,8 @@
         1, 5, 6, stopping, view, view, view, LoadTimeEstimates.FIRST, false);
   }
 
-  private void reported(DataCentreId from, long ageMs, long now) {
-    freshness.update(from, status(70, ageMs, false), now);
+  private void reportStatus(DataCentreId dataCentre, long viewAgeMs, long nowMs) {
+    freshness.update(dataCentre, status(70, viewAgeMs, false), nowMs);
   }
 
   @Test
@@ -35,34 +35,35 @@
   }
 
   /**
-   * Guards against a daemon that relies on one coordinator only. The coordinator is cut off from
-   * the store and has not detected it, since its watch just returns nothing. The daemon would keep
-   * sending requests to an endpoint that leaves meanwhile, and they would be cut off when it ends.
+   * Guards against a daemon that relies on a single coordinator. If that coordinator is cut off
+   * from the store, its watch returns no changes and it does not detect the failure. The daemon
+   * would then keep sending requests to an endpoint that is being removed, and those requests would
+   * be aborted when the endpoint shuts down.
    */
   @Nested
   class CutOffCoordinator {
 
     @Test
     void oneCoordinatorIsNotEnough() {
-      reported(NORTH, 100, 0);
+      reportStatus(NORTH, 100, 0);
 
       assertThat(freshness.areFresh(Topic.ENDPOINTS, 10)).isFalse();
     }
 
     @Test
     void twoCoordinatorsAreEnough() {
-      reported(NORTH, 100, 0);
-      reported(SOUTH, 900, 0);
+      reportStatus(NORTH, 100, 0);
+      reportStatus(SOUTH, 900, 0);
 
       assertThat(freshness.areFresh(Topic.ENDPOINTS, 10)).isTrue();
     }
 
     @Test
     void outdatedViewsDoNotCount() {
-      reported(NORTH, 100, 0);
-      reported(SOUTH, 100, 0);
-      reported(WEST, 100, 0);
-      reported(WEST, 1_300, 1_200);
+      reportStatus(NORTH, 100, 0);
+      reportStatus(SOUTH, 100, 0);
+      reportStatus(WEST, 100, 0);
+      reportStatus(WEST, 1_300, 1_200);
 
       assertThat(freshness.areFresh(Topic.ENDPOINTS, 1_500)).isTrue();
       assertThat(freshness.areFresh(Topic.ENDPOINTS, 1_501)).isFalse();
@@ -71,17 +72,17 @@
 
     @Test
     void coordinatorThatReportsAnOutageDoesNotCount() {
-      reported(NORTH, -1, 0);
-      reported(SOUTH, 0, 0);
+      reportStatus(NORTH, -1, 0);
+      reportStatus(SOUTH, 0, 0);
 
       assertThat(freshness.areFresh(Topic.ENDPOINTS, 0)).isFalse();
     }
 
     @Test
     void lostOrStoppingCoordinatorDoesNotCount() {
-      reported(NORTH, 0, 0);
-      reported(SOUTH, 0, 0);
-      reported(WEST, 0, 0);
+      reportStatus(NORTH, 0, 0);
+      reportStatus(SOUTH, 0, 0);
+      reportStatus(WEST, 0, 0);
       freshness.lost(NORTH);
       assertThat(freshness.areFresh(Topic.RELEASES, 0)).isTrue();
 
@@ -90,12 +91,15 @@
     }
   }
 
-  /** Guards against coordinators that all pause because of one another. */
+  /**
+   * Guards against all coordinators ceasing to watch the store because each relies on the others. A
+   * coordinator relies only on those whose data centre names precede its own.
+   */
   @Test
-  void coordinatorsRelyOnlyOnThoseBeforeThem() {
-    reported(NORTH, 100, 0);
-    reported(SOUTH, 100, 0);
-    reported(WEST, 100, 0);
+  void coordinatorReliesOnlyOnThoseWithPrecedingNames() {
+    reportStatus(NORTH, 100, 0);
+    reportStatus(SOUTH, 100, 0);
+    reportStatus(WEST, 100, 0);
 
     assertThat(freshness.areFreshForCoordinator(WEST, Topic.ENDPOINTS, 0)).isTrue();
     assertThat(freshness.areFreshForCoordinator(SOUTH, Topic.ENDPOINTS, 0)).isFalse();
@@ -103,9 +107,9 @@
   }
 
   @Test
-  void coordinatorWatchesAgainWhenOneBeforeItIsLost() {
-    reported(NORTH, 100, 0);
-    reported(SOUTH, 100, 0);
+  void coordinatorResumesWatchingWhenOneWithAPrecedingNameIsLost() {
+    reportStatus(NORTH, 100, 0);
+    reportStatus(SOUTH, 100, 0);
     freshness.lost(NORTH);
 
     assertThat(freshness.areFreshForCoordinator(WEST, Topic.ENDPOINTS, 0)).isFalse();
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/PolicyBench.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/PolicyBench.java
@@ -125,14 +125,14 @@
         seed,
         policy,
         score.stallSeconds(),
-        score.stallAt(MEDIAN),
-        score.stallAt(P95),
-        score.stallAt(P99),
-        score.deadlineStallAt(P95),
+        score.stallMsAtPercentile(MEDIAN),
+        score.stallMsAtPercentile(P95),
+        score.stallMsAtPercentile(P99),
+        score.deadlineStallMsAtPercentile(P95),
         score.batchEfficiency(),
         score.loads(),
         score.evictions(),
-        score.goodput(),
+        score.goodputPerSecond(),
         score.lost());
   }
 
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Score.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Score.java
@@ -33,7 +33,11 @@
     }
   }
 
-  /** Counts the time to the deadline as stall, so that refusals don't improve a policy's result. */
+  /**
+   * Records a request that was refused or had not started by its deadline. Its whole time from
+   * arrival to deadline counts as stall, since a policy could otherwise improve its result by
+   * refusing requests.
+   */
   void lost(Workload.Arrival arrival) {
     record(arrival, arrival.deadlineMs() - arrival.atMs());
     if (isMeasured(arrival)) {
@@ -71,15 +75,18 @@
     return stallMs / 1000;
   }
 
-  long stallAt(double percentile) {
+  long stallMsAtPercentile(double percentile) {
     return stalls.getValueAtPercentile(percentile);
   }
 
-  long deadlineStallAt(double percentile) {
+  long deadlineStallMsAtPercentile(double percentile) {
     return deadlineStalls.getValueAtPercentile(percentile);
   }
 
-  /** Returns tokens per busy time of the engines, relative to a full batch of one adapter. */
+  /**
+   * Returns the tokens generated per millisecond of engine busy time, as a fraction of the rate of
+   * a full batch that uses a single adapter.
+   */
   double batchEfficiency() {
     double fullStepMs = Engine.STEP_MS + Engine.STREAM_MS * (config.maxStreams() - 1);
     return tokens / busyMs / (config.maxStreams() / fullStepMs);
@@ -97,7 +104,11 @@
     return lost;
   }
 
-  double goodput() {
+  /**
+   * Returns the number of answered requests that arrived after the warm-up, per second of the
+   * measured time.
+   */
+  double goodputPerSecond() {
     return answered * 1000.0 / (config.endMs() - config.warmUpMs());
   }
 
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationFailureTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/ConfigurationFailureTest.java
@@ -20,11 +20,14 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Verifies what callers and operators see of configuration changes during failures. */
+/**
+ * Verifies the effects of configuration changes on callers and operators: during a platform outage,
+ * when made concurrently, and when an endpoint is taken out of service.
+ */
 class ConfigurationFailureTest {
 
-  private static final long LIMIT_MS = 20_000;
-  private static final long PROPAGATION_MS = 4_000;
+  private static final long TIMEOUT_MS = 20_000;
+  private static final long PROPAGATION_TIMEOUT_MS = 4_000;
 
   private static Cluster cluster(int engines) throws Exception {
     Cluster cluster =
@@ -35,15 +38,15 @@
             .engineSize(8, 64)
             .daemonJvmFlags("-Xmx96m")
             .start();
-    cluster.awaitServing(LIMIT_MS);
+    cluster.awaitServing(TIMEOUT_MS);
     return cluster;
   }
 
-  // A daemon is replaced during a platform outage and starts with stale or missing configuration. A
-  // caller must not get the version before the one in force, so the daemon synchronizes with its
-  // peers before it is ready. Callers must not wait for the end of the outage either: the ownership
-  // table still names the previous incarnation, so the daemon serves the resident adapters of its
-  // endpoints and sends them no orders.
+  // A daemon is replaced during a platform outage and starts with stale or missing configuration.
+  // It must not serve callers an older adapter version than the one in force, so it synchronizes
+  // with its peers before it is ready. Callers must not wait for the end of the outage either: the
+  // ownership table still names the previous incarnation, so the daemon serves the adapters that
+  // are already loaded on its endpoints, but sends them no orders such as loads and unloads.
   @Test
   void aDaemonStartedDuringAnOutageHasTheConfigurationOfItsPeers() throws Exception {
     try (Cluster cluster = cluster(1)) {
@@ -52,17 +55,19 @@
       ObjectValues.Adapter changed = new ObjectValues.Adapter(ClusterNames.MODEL, "v1", versions);
       cluster.objects().put("adapter", ClusterNames.adapter(0), changed);
       DaemonNode daemon = cluster.daemon("d1");
-      probe.await("applied everywhere", PROPAGATION_MS, () -> allAnswerWith(cluster, "v1"));
+      probe.await(
+          "all daemons serve v1", PROPAGATION_TIMEOUT_MS, () -> allAnswerWith(cluster, "v1"));
       cluster.setFaults(cluster.platformAddress(), "{\"outage\":true}");
 
       daemon.process().kill();
       cluster.restart(daemon);
-      probe.await("ready without the platform", LIMIT_MS, () -> probe.ready(daemon));
+      probe.await("ready without the platform", TIMEOUT_MS, () -> probe.ready(daemon));
 
       assertThat(probe.statusField(daemon, "revision"))
           .isEqualTo(probe.statusField(cluster.daemon("d2"), "revision"));
       assertThat(probe.statusField(daemon, "preset")).isEqualTo("ORDINARY");
-      probe.await("answers", LIMIT_MS, () -> answersWith(cluster, daemon, "v1"));
+      probe.await(
+          "restarted daemon serves v1", TIMEOUT_MS, () -> answersWith(cluster, daemon, "v1"));
     }
   }
 
@@ -106,7 +111,7 @@
       for (DaemonNode daemon : cluster.daemons()) {
         probe.await(
             winner + " at " + daemon.id(),
-            PROPAGATION_MS,
+            PROPAGATION_TIMEOUT_MS,
             () -> probe.statusField(daemon, "preset").equals(winner));
       }
     }
@@ -129,9 +134,10 @@
         });
   }
 
-  // An operator takes an endpoint out of service before maintenance of its host; requests that
-  // still start there are cut off with the host. From 2 s after the change no request starts there,
-  // and all answers stay complete. Once reactivated, the endpoint accepts requests again.
+  // An operator takes an endpoint out of service before maintenance of its host; requests that are
+  // still started there are aborted when the host shuts down. From 2 s after the change no request
+  // starts there, and all answers stay complete. Once reactivated, the endpoint accepts requests
+  // again.
   @Test
   void aLeavingEndpointGetsNoNewWorkUntilReactivated() throws Exception {
     try (Cluster cluster = cluster(2)) {
@@ -139,17 +145,21 @@
       try (LoadTool tool =
           LoadTool.to(cluster.daemons().stream().map(DaemonNode::callerAddress).toList())) {
         tool.start(new LoadPlan(9, 40, 4, 0, 10, 0, 0, 0, 8).requests());
-        probe.await("e1 works", LIMIT_MS, () -> probe.auditCounter("e1", "accepted") > 0);
+        probe.await(
+            "e1 accepts requests", TIMEOUT_MS, () -> probe.auditCounter("e1", "accepted") > 0);
         long start = System.nanoTime();
         setState(cluster, "LEAVING");
-        probe.await("2 s", LIMIT_MS, () -> elapsedMs(start) >= 2_000);
+        probe.await("2 s since the state change", TIMEOUT_MS, () -> elapsedMs(start) >= 2_000);
         long after = probe.auditCounter("e1", "accepted");
-        probe.await("2 s more", LIMIT_MS, () -> elapsedMs(start) >= 4_000);
+        probe.await("4 s since the state change", TIMEOUT_MS, () -> elapsedMs(start) >= 4_000);
         assertThat(probe.auditCounter("e1", "accepted")).as("accepted after 2 s").isEqualTo(after);
         setState(cluster, "ACTIVE");
-        probe.await("e1 works again", LIMIT_MS, () -> probe.auditCounter("e1", "accepted") > after);
+        probe.await(
+            "e1 accepts requests again",
+            TIMEOUT_MS,
+            () -> probe.auditCounter("e1", "accepted") > after);
 
-        LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(LIMIT_MS));
+        LoadReport report = ConsistencyChecker.of(cluster).apply(tool.await(TIMEOUT_MS));
         assertThat(report.reasons(5)).isEmpty();
         assertThat(report.count(Verdict.COMPLETE)).isEqualTo(report.sent());
       }
