--- a/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerSyncState.java
+++ b/coordination/src/main/java/io/sequoiapass/coordination/request/LedgerSyncState.java
@@ -22,24 +22,26 @@
   private record LossKey(Set<LedgerMember> before, Set<LedgerMember> left) {}
 
   /**
-   * An excluded key range after a replica loss. Its replica assignment is computed once, since
-   * every member reports the same loss.
+   * Keys whose records may be lost because all their replicas under the membership {@code before}
+   * are in {@code left}; excluded until {@code until}, in milliseconds. Every member reports the
+   * same loss, so the replica assignment is computed only once.
    */
-  private record ExcludedRange(LedgerReplicas before, Set<LedgerMember> left, long until) {
+  private record ExcludedKeys(LedgerReplicas before, Set<LedgerMember> left, long until) {
 
-    ExcludedRange extendedTo(long later) {
-      return later > until ? new ExcludedRange(before, left, later) : this;
+    ExcludedKeys extendedTo(long later) {
+      return later > until ? new ExcludedKeys(before, left, later) : this;
     }
   }
 
   private final LedgerMember self;
   private final LedgerSettings settings;
   private final Ranking ranking;
-  private final long startedAt;
-  private final List<LedgerReplicas> sinceSynchronized = new ArrayList<>();
+  private final long startedAtMillis;
+  private final List<LedgerReplicas> membershipsSinceSync = new ArrayList<>();
   private final Set<LedgerMember> pendingMembers = new TreeSet<>();
-  private final Map<LedgerReplicas, Long> recentReplicas = new LinkedHashMap<>();
-  private final Map<LossKey, ExcludedRange> losses = new LinkedHashMap<>();
+  // Ended memberships, each with the time at which it last ended, in milliseconds.
+  private final Map<LedgerReplicas, Long> recentMemberships = new LinkedHashMap<>();
+  private final Map<LossKey, ExcludedKeys> losses = new LinkedHashMap<>();
   private boolean synchronizedOnce;
   private boolean retentionElapsed;
 
@@ -47,7 +49,7 @@
     this.self = self;
     this.settings = settings;
     this.ranking = ranking;
-    this.startedAt = nowMillis;
+    this.startedAtMillis = nowMillis;
   }
 
   /** Returns whether this incarnation holds every record of the key. */
@@ -55,24 +57,24 @@
     removeExpired(nowMillis);
     return synchronizedOnce
         && isRetentionElapsed(nowMillis)
-        && sinceSynchronized.stream().allMatch(replicas -> replicas.isReplica(key, self))
+        && membershipsSinceSync.stream().allMatch(replicas -> replicas.isReplica(key, self))
         && losses.values().stream()
             .noneMatch(loss -> loss.before().replicasAreAmong(key, loss.left()));
   }
 
   boolean isRetentionElapsed(long nowMillis) {
-    return retentionElapsed || nowMillis - startedAt >= settings.retentionMillis();
+    return retentionElapsed || nowMillis - startedAtMillis >= settings.retentionMillis();
   }
 
   /** Applies a membership; the records of all other members must be requested again. */
   void membersChanged(LedgerReplicas before, LedgerReplicas after, long nowMillis) {
     removeExpired(nowMillis);
-    recentReplicas.put(before, nowMillis);
+    recentMemberships.put(before, nowMillis);
     Set<LedgerMember> present = after.members();
     // A new secondary may not have its copies yet when the primary leaves as well. Every membership
     // that ended within the settling time, or since this incarnation last synchronized with all
     // members, is therefore compared with the present one.
-    for (LedgerReplicas replicas : recentReplicas.keySet()) {
+    for (LedgerReplicas replicas : recentMemberships.keySet()) {
       Set<LedgerMember> left = new TreeSet<>(replicas.members());
       left.removeAll(present);
       // A member that left before it replied may have shared keys with this incarnation whose
@@ -84,13 +86,16 @@
         exclude(new Loss(replicas.members(), left, settings.retentionMillis()), nowMillis);
       }
     }
-    sinceSynchronized.add(after);
+    membershipsSinceSync.add(after);
     pendingMembers.clear();
     pendingMembers.addAll(present);
     pendingMembers.remove(self);
   }
 
-  /** Declares that no record can predate this incarnation. */
+  /**
+   * Skips the initial wait of one retention period; call only if no earlier incarnation of a daemon
+   * can have stored a record.
+   */
   void assumeNoEarlierRecords() {
     retentionElapsed = true;
   }
@@ -108,11 +113,11 @@
 
   /** Marks this incarnation as synchronized if no replies are pending. */
   void updateSynchronized() {
-    if (pendingMembers.isEmpty() && !sinceSynchronized.isEmpty()) {
+    if (pendingMembers.isEmpty() && !membershipsSinceSync.isEmpty()) {
       synchronizedOnce = true;
-      LedgerReplicas current = sinceSynchronized.get(sinceSynchronized.size() - 1);
-      sinceSynchronized.clear();
-      sinceSynchronized.add(current);
+      LedgerReplicas current = membershipsSinceSync.get(membershipsSinceSync.size() - 1);
+      membershipsSinceSync.clear();
+      membershipsSinceSync.add(current);
     }
   }
 
@@ -127,17 +132,17 @@
     long until = nowMillis + loss.remainingMillis();
     losses.compute(
         new LossKey(loss.before(), loss.left()),
-        (lost, excluded) ->
-            excluded == null ? excludedRange(lost, until) : excluded.extendedTo(until));
+        (key, excluded) ->
+            excluded == null ? excludedKeys(key, until) : excluded.extendedTo(until));
   }
 
-  private ExcludedRange excludedRange(LossKey lost, long until) {
-    return new ExcludedRange(new LedgerReplicas(ranking, lost.before()), lost.left(), until);
+  private ExcludedKeys excludedKeys(LossKey key, long until) {
+    return new ExcludedKeys(new LedgerReplicas(ranking, key.before()), key.left(), until);
   }
 
   private void removeExpired(long nowMillis) {
     if (pendingMembers.isEmpty()) {
-      recentReplicas.values().removeIf(at -> nowMillis - at > settings.settleMillis());
+      recentMemberships.values().removeIf(at -> nowMillis - at > settings.settleMillis());
     }
     losses.values().removeIf(loss -> nowMillis >= loss.until());
   }
--- a/daemon/src/main/java/io/sequoiapass/daemon/process/command/Command.java
+++ b/daemon/src/main/java/io/sequoiapass/daemon/process/command/Command.java
@@ -27,7 +27,7 @@
   ENTRY("", "run one entry daemon until it is stopped") {
     @Override
     ExitCode execute(Invocation invocation) {
-      throw new AssertionError("the entry daemon reads its own flags");
+      throw new AssertionError("ENTRY overrides run() and does not use Invocation");
     }
 
     @Override
@@ -43,7 +43,7 @@
           : EntryCommand.run(arguments, environment, err).code();
     }
   },
-  /** Runs the daemon of a deployment. */
+  /** Runs a daemon with the settings and protocols of a {@code Deployment}. */
   SERVE(
       "[--metrics-port PORT]",
       "run one daemon with the host's settings until it is stopped",
@@ -149,7 +149,7 @@
   private final String usage;
   private final String summary;
 
-  // The set is unmodifiable, although its type is not.
+  // The field holds an unmodifiable set; the checker sees only the declared type Set.
   @SuppressWarnings("ImmutableEnumChecker")
   private final Set<CommandFlag> flags;
 
--- a/daemon/src/test/java/io/sequoiapass/daemon/process/timeline/TimelineTest.java
+++ b/daemon/src/test/java/io/sequoiapass/daemon/process/timeline/TimelineTest.java
@@ -53,27 +53,27 @@
   @Test
   void concurrentRecordingLosesNoRecentEvent() throws Exception {
     int threads = 4;
-    int each = 20_000;
+    int eventsPerThread = 20_000;
     int capacity = 512;
     Timeline timeline = Timeline.create(PROCESS, capacity, () -> 5);
     ExecutorService pool = Executors.newFixedThreadPool(threads);
-    List<Future<Integer>> ends = new ArrayList<>();
+    List<Future<Integer>> futures = new ArrayList<>();
     for (int t = 0; t < threads; t++) {
       Callable<Integer> work =
           () -> {
-            for (int i = 0; i < each; i++) {
+            for (int i = 0; i < eventsPerThread; i++) {
               timeline.record(event());
             }
-            return each;
+            return eventsPerThread;
           };
-      ends.add(pool.submit(work));
+      futures.add(pool.submit(work));
     }
-    for (Future<Integer> end : ends) {
-      assertThat(end.get(10, TimeUnit.SECONDS)).isEqualTo(each);
+    for (Future<Integer> future : futures) {
+      assertThat(future.get(10, TimeUnit.SECONDS)).isEqualTo(eventsPerThread);
     }
     pool.shutdown();
 
-    long total = (long) threads * each;
+    long total = (long) threads * eventsPerThread;
     assertThat(timeline.events(TimelineQuery.ALL))
         .extracting(TimelineEvent::sequence)
         .containsExactlyElementsOf(
@@ -87,7 +87,7 @@
    */
   @Test
   void eventWrittenAfterAWraparoundDoesNotReplaceANewerOne() {
-    AtomicReference<Timeline> held = new AtomicReference<>();
+    AtomicReference<Timeline> timelineReference = new AtomicReference<>();
     AtomicBoolean first = new AtomicBoolean(true);
     Timeline timeline =
         Timeline.create(
@@ -95,12 +95,12 @@
             2,
             () -> {
               if (first.getAndSet(false)) {
-                held.get().record(event());
-                held.get().record(event());
+                timelineReference.get().record(event());
+                timelineReference.get().record(event());
               }
               return 5;
             });
-    held.set(timeline);
+    timelineReference.set(timeline);
 
     timeline.record(event());
 
@@ -122,7 +122,7 @@
     private final AtomicLong wall = new AtomicLong(1_000);
     private final Timeline timeline = Timeline.create(PROCESS, 10, wall::get);
 
-    private List<Long> found(Map<String, String> filters) throws InvalidQueryException {
+    private List<Long> sequencesMatching(Map<String, String> filters) throws InvalidQueryException {
       TimelineQuery query = TimelineQuery.parse(name -> Optional.ofNullable(filters.get(name)));
       return timeline.events(query).stream().map(TimelineEvent::sequence).toList();
     }
@@ -148,28 +148,28 @@
     void requestIsFoundByTheCallersOwnId() throws InvalidQueryException {
       timeline.record(
           TimelineEvent.of(TimelineKind.FAULT).request(new RequestId("slip-7~d1.abc.2")).build());
-      assertThat(found(Map.of("request", "slip-7"))).hasSize(1);
-      assertThat(found(Map.of("request", "slip"))).isEmpty();
+      assertThat(sequencesMatching(Map.of("request", "slip-7"))).hasSize(1);
+      assertThat(sequencesMatching(Map.of("request", "slip"))).isEmpty();
     }
 
     @Test
     void filtersSelectMatchingEvents() throws InvalidQueryException {
       recordThree();
 
-      assertThat(found(Map.of())).containsExactly(1L, 2L, 3L);
-      assertThat(found(Map.of("request", "r1"))).containsExactly(1L);
-      assertThat(found(Map.of("adapter", "notes"))).containsExactly(1L, 2L);
-      assertThat(found(Map.of("adapter", "notes@v6"))).containsExactly(2L);
-      assertThat(found(Map.of("endpoint", "engine-1"))).containsExactly(1L);
-      assertThat(found(Map.of("kind", "FAULT,LOAD_DONE"))).containsExactly(2L, 3L);
-      assertThat(found(Map.of("since", "2000", "until", "2999"))).containsExactly(2L);
+      assertThat(sequencesMatching(Map.of())).containsExactly(1L, 2L, 3L);
+      assertThat(sequencesMatching(Map.of("request", "r1"))).containsExactly(1L);
+      assertThat(sequencesMatching(Map.of("adapter", "notes"))).containsExactly(1L, 2L);
+      assertThat(sequencesMatching(Map.of("adapter", "notes@v6"))).containsExactly(2L);
+      assertThat(sequencesMatching(Map.of("endpoint", "engine-1"))).containsExactly(1L);
+      assertThat(sequencesMatching(Map.of("kind", "FAULT,LOAD_DONE"))).containsExactly(2L, 3L);
+      assertThat(sequencesMatching(Map.of("since", "2000", "until", "2999"))).containsExactly(2L);
     }
 
     @Test
     void invalidFilterIsReportedWithItsValueAndWhatIsAllowed() {
-      assertThatThrownBy(() -> found(Map.of("kind", "FALUT")))
+      assertThatThrownBy(() -> sequencesMatching(Map.of("kind", "FALUT")))
           .hasMessageStartingWith("kind: 'FALUT' is wrong; allowed: [REQUEST_ACCEPTED, ");
-      assertThatThrownBy(() -> found(Map.of("since", "noon")))
+      assertThatThrownBy(() -> sequencesMatching(Map.of("since", "noon")))
           .hasMessage("since: 'noon' is wrong; allowed: milliseconds since 1970");
     }
 
@@ -183,7 +183,7 @@
 
       assertThat(report.events()).extracting(TimelineReport.Entry::sequence).containsExactly(2L);
       assertThat(report.omitted()).isEqualTo(1);
-      assertThatThrownBy(() -> found(Map.of("limit", "0")))
+      assertThatThrownBy(() -> sequencesMatching(Map.of("limit", "0")))
           .hasMessage("limit: '0' is wrong; allowed: 1 to 1000000");
     }
 
--- a/gateway/src/main/java/io/sequoiapass/gateway/spi/CallerFacts.java
+++ b/gateway/src/main/java/io/sequoiapass/gateway/spi/CallerFacts.java
@@ -5,12 +5,14 @@
 import java.util.OptionalLong;
 
 /**
- * What the headers of a caller's request state.
+ * Metadata decoded from the headers of a caller's request.
  *
- * @param requestId the caller's id of the request; empty if it gave none
- * @param deadlineMs how long the caller waits, in milliseconds; empty if not stated
+ * @param requestId the request id set by the caller; an empty string if the header is absent
+ * @param deadlineMs time the caller allows for the request, in milliseconds; empty if the header is
+ *     absent or not a number
  * @param generation the generation request; empty for plain services
- * @param lastEventId the last event that the caller received of a stream that it resumes
+ * @param lastEventId id of the last event that the caller received before it resumed the stream;
+ *     empty if the header is absent or not a number
  */
 public record CallerFacts(
     String requestId,
--- a/gateway/src/test/java/io/sequoiapass/gateway/request/AdapterSearchTest.java
+++ b/gateway/src/test/java/io/sequoiapass/gateway/request/AdapterSearchTest.java
@@ -57,7 +57,10 @@
     assertThat(search.candidates(BOTH)).containsExactly(SOUTH);
   }
 
-  /** Guards against a load request that counts as overdue because of an earlier wait. */
+  /**
+   * Guards against a load request whose timeout is measured from the start of an earlier load
+   * request.
+   */
   @Test
   void eachLoadRequestHasItsOwnTimeout() {
     search.request(load(NORTH, false), 0, 100);
@@ -77,7 +80,10 @@
     assertThat(search.candidates(BOTH)).containsExactly(NORTH);
   }
 
-  /** Guards against a retry that finds no data centre because a further copy was requested. */
+  /**
+   * Guards against a retry that has no candidates because the previous attempt requested a further
+   * copy.
+   */
   @Test
   void retrySearchesAllDataCentresAgain() {
     search.request(new Choice.RequestLoad(NORTH, true, false, 300), 0, 100);
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Policies.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Policies.java
@@ -63,11 +63,12 @@
       Map<AdapterVersion, Integer> first = new HashMap<>();
       Map<AdapterVersion, Integer> second = new HashMap<>();
       for (Workload.Arrival arrival : arrivals) {
-        (arrival.atMs() < config.halfMs() ? first : second)
+        (arrival.atMs() < config.measurementMidpointMs() ? first : second)
             .merge(arrival.adapter(), 1, Integer::sum);
       }
       Baseline.RetentionValue demand =
-          (now, adapter, used) -> (now < config.halfMs() ? first : second).getOrDefault(adapter, 0);
+          (now, adapter, used) ->
+              (now < config.measurementMidpointMs() ? first : second).getOrDefault(adapter, 0);
       Baseline all = new Baseline(demand, true, 1);
       return new BaselinePolicy(config, () -> all, false);
     }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Simulation.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Simulation.java
@@ -90,7 +90,7 @@
       schedule(TICK_INTERVAL_MS * (i + 1) / config.owners(), () -> tick(placement));
     }
     if (scenario == Scenario.COLD_HALF) {
-      schedule(config.halfMs(), this::restartHalf);
+      schedule(config.measurementMidpointMs(), this::restartHalf);
     }
     while (now < config.endMs() + DRAIN_MS) {
       processNextEvent();
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/SimulationConfig.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/SimulationConfig.java
@@ -4,7 +4,7 @@
  * Parameters of one simulation run.
  *
  * @param user profile of the requests
- * @param zipf exponent of the adapters' popularity
+ * @param zipf exponent of the Zipf distribution of adapter popularity
  * @param adapters number of adapters of the main model; the second model has a fifth of them
  * @param slots adapter slots of an engine
  * @param maxStreams maximum number of concurrent streams of an engine
@@ -27,9 +27,11 @@
     int seconds) {
 
   /** Fraction of the adapters and of the arrivals that belong to the second model. */
-  static final double SECOND_SHARE = 0.2;
+  static final double SECOND_MODEL_SHARE = 0.2;
 
-  /** Fraction of the run in which requests only fill the slots and are not measured. */
+  /**
+   * Fraction of the run, at its start, that fills the slots and is excluded from the measurements.
+   */
   private static final double WARM_UP_SHARE = 0.2;
 
   double warmUpMs() {
@@ -40,7 +42,7 @@
     return seconds * 1000.0;
   }
 
-  double halfMs() {
+  double measurementMidpointMs() {
     return (warmUpMs() + endMs()) / 2;
   }
 
@@ -48,7 +50,7 @@
     return runners + secondRunners;
   }
 
-  /** Engines alternate between owners, so that each owner has some of each model. */
+  /** Assigns engines to owners round-robin, so that the engines of each model are spread evenly. */
   int ownerOf(int engine) {
     return engine % owners;
   }
--- a/testbed/src/main/java/io/sequoiapass/testbed/policy/Workload.java
+++ b/testbed/src/main/java/io/sequoiapass/testbed/policy/Workload.java
@@ -29,14 +29,14 @@
 
   static List<Arrival> generate(SimulationConfig config, Scenario scenario, long seed) {
     Random random = new Random(seed);
-    int second = Math.max(1, (int) (config.adapters() * SimulationConfig.SECOND_SHARE));
+    int second = Math.max(1, (int) (config.adapters() * SimulationConfig.SECOND_MODEL_SHARE));
     Popularity main = new Popularity("m", config.adapters(), config.zipf(), random);
     Popularity other = new Popularity("s", second, config.zipf(), random);
     List<Arrival> arrivals = new ArrayList<>();
     boolean flipped = false;
     double now = 0;
     while (true) {
-      boolean secondHalf = now >= config.halfMs();
+      boolean secondHalf = now >= config.measurementMidpointMs();
       now -=
           Math.log(1 - random.nextDouble())
               * 1000
@@ -45,12 +45,12 @@
       if (now >= config.endMs()) {
         return arrivals;
       }
-      if (scenario == Scenario.FLIP && !flipped && now >= config.halfMs()) {
+      if (scenario == Scenario.FLIP && !flipped && now >= config.measurementMidpointMs()) {
         main.shuffle(random);
         other.shuffle(random);
         flipped = true;
       }
-      boolean isMain = random.nextDouble() >= SimulationConfig.SECOND_SHARE;
+      boolean isMain = random.nextDouble() >= SimulationConfig.SECOND_MODEL_SHARE;
       AdapterVersion adapter = (isMain ? main : other).draw(random);
       Urgency urgency = config.user().urgency(random);
       int tokens = config.user().tokens(random, urgency);
--- a/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestRunsOnceTest.java
+++ b/testbed/src/test/java/io/sequoiapass/testbed/failure/RequestRunsOnceTest.java
@@ -53,8 +53,9 @@
     calls.faults("{}");
   }
 
-  // A client sends one slip through two daemons at the same time, and once more afterwards. Both
-  // reach the primary replica of the key; the later one must not run, whatever its outcome.
+  // A caller sends the same request through two daemons concurrently. The primary replica of the
+  // key admits one; the other must not run and gets UNKNOWN. Later requests with the key are
+  // refused.
   @Test
   @Order(1)
   void oneKeyThroughTwoDaemonsAtOnceRunsOnce() throws Exception {
@@ -82,9 +83,9 @@
     }
   }
 
-  // The service accepts a slip and pays, and its answer is lost. Whether it ran cannot be
-  // determined: the caller gets UNKNOWN, no daemon sends the slip a second time, and a repetition
-  // with the same key does not run.
+  // The service runs a request and its response is lost, so the daemon cannot determine whether it
+  // ran. The caller gets UNKNOWN, no daemon resends the request, and a retry with the same key is
+  // refused.
   @Test
   @Order(2)
   void aLostAnswerOfAnAcceptedSlipIsUnknownAndTheSlipRunsOnce() throws Exception {
@@ -110,9 +111,9 @@
     assertThat(calls.runs("refused")).isEqualTo(1);
   }
 
-  // A slip was paid, and the primary replica of its key is killed. The secondary takes over once
-  // the primary's lease has expired; until then the key is refused as NOT RUN, and afterwards as
-  // one that ran.
+  // The primary replica of a key is killed after the request has run. Until the primary's lease
+  // expires, requests with the key are refused as NOT RUN; then the secondary takes over and
+  // refuses them with KEY_ALREADY_RAN. Runs last because the killed daemon is not restarted.
   @Test
   @Order(4)
   void aKeyWhosePrimaryIsKilledDoesNotRunAgain() throws Exception {
